--- /dev/null
+++ b/crates/council/tests/message_bytes.rs
@@ -0,0 +1,259 @@
+//! The postcard bytes of every kind of message between processes, as recorded at commit 04e006e in
+//! `data/message_bytes.txt`: `name hex` lines. `Command` is also what the log stores. The order, number and types of
+//! fields and variants must not change, or programs of two builds read each other wrongly; names are free.
+//!
+//! Messages cannot be compared with `==`: a recorded one must be encoded to the same bytes again after it was decoded,
+//! and look like the one built here in its `Debug` form.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Debug;
+
+use nickelflow_accord::{Document, Grant, Refused, Request, Standing, Step, Version};
+use nickelflow_council::{Answer, Call, Command, HolderStatus, Lead, Status, Unanswered};
+use openraft::error::{Fatal, InstallSnapshotError, RaftError, SnapshotMismatch};
+use openraft::raft::{
+    AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
+    VoteRequest, VoteResponse,
+};
+use openraft::{
+    CommittedLeaderId, EmptyNode, Entry, EntryPayload, LogId, Membership, SnapshotMeta, SnapshotSegmentId,
+    StoredMembership, Vote,
+};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+const RECORDED: &str = include_str!("data/message_bytes.txt");
+
+/// Encodes each message and compares it with the recorded bytes, which must decode to the same message.
+#[derive(Default)]
+struct Checker {
+    names: Vec<String>,
+    faults: Vec<String>,
+}
+
+impl Checker {
+    fn check<T: Serialize + DeserializeOwned + Debug>(&mut self, name: &str, value: &T) {
+        self.names.push(name.to_owned());
+        let encoded = hex(&postcard::to_stdvec(value).expect("encoded"));
+        let Some(recorded) = recorded(name) else {
+            return self.faults.push(format!("not recorded:\n{name} {encoded}"));
+        };
+        if encoded != recorded {
+            self.faults.push(format!("{name} is encoded as {encoded}, and was as {recorded}"));
+        }
+        match postcard::from_bytes::<T>(&bytes(recorded)) {
+            Ok(decoded) => {
+                let again = hex(&postcard::to_stdvec(&decoded).expect("encoded"));
+                if again != recorded {
+                    self.faults.push(format!("{name} is encoded as {again} once decoded from {recorded}"));
+                }
+                if format!("{decoded:?}") != format!("{value:?}") {
+                    self.faults.push(format!("{name} is decoded to {decoded:?}, not {value:?}"));
+                }
+            }
+            Err(e) => self.faults.push(format!("{name} cannot be decoded: {e}")),
+        }
+    }
+
+    fn check_all<T: Serialize + DeserializeOwned + Debug>(&mut self, name: &str, values: &[T]) {
+        for (n, value) in values.iter().enumerate() {
+            self.check(&format!("{name}-{n}"), value);
+        }
+    }
+
+    fn finish(self) {
+        assert!(self.faults.is_empty(), "{}", self.faults.join("\n"));
+        let recorded: Vec<&str> = RECORDED.lines().filter_map(|line| line.split(' ').next()).collect();
+        assert_eq!(self.names, recorded, "each recorded message is checked, in the order of the file");
+    }
+}
+
+fn recorded(name: &str) -> Option<&'static str> {
+    RECORDED.lines().find_map(|line| line.split_once(' ').filter(|(of, _)| *of == name)).map(|(_, hex)| hex)
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal");
+    (0..hex.len()).step_by(2).map(byte).collect()
+}
+
+// All values are made here. No two fields of one type have the same value, so that any two that are swapped show.
+
+fn version(number: u64) -> Version {
+    Version { number, term: 7 }
+}
+
+fn document() -> Document {
+    Document {
+        schedulers: 4,
+        quotas: BTreeMap::from([("milk".to_owned(), 100.0)]),
+        workers: BTreeMap::from([("w1".to_owned(), Standing::Pinned("milk".to_owned()))]),
+        list: 9,
+        ..Document::default()
+    }
+}
+
+fn commands() -> Vec<Command> {
+    vec![
+        Command::Mark,
+        Command::Found(document()),
+        Command::Propose { base: 300, document: document() },
+        Command::RollBack { base: 301, to: 299 },
+        Command::Sit("s1".to_owned()),
+        Command::Leave("s2".to_owned()),
+        Command::Advance { from: version(302), has: BTreeMap::from([("s1".to_owned(), version(303))]) },
+    ]
+}
+
+fn log_id(index: u64) -> LogId<u64> {
+    LogId::new(CommittedLeaderId::new(5, 2), index)
+}
+
+fn membership() -> Membership<u64, EmptyNode> {
+    Membership::new(vec![BTreeSet::from([1, 2, 3])], None)
+}
+
+fn snapshot_meta() -> SnapshotMeta<u64, EmptyNode> {
+    SnapshotMeta {
+        last_log_id: Some(log_id(400)),
+        last_membership: StoredMembership::new(Some(log_id(401)), membership()),
+        snapshot_id: "5-2-400".to_owned(),
+    }
+}
+
+/// One entry of each kind, and one for each command.
+fn append() -> Call {
+    let payloads = [EntryPayload::Blank, EntryPayload::Membership(membership())];
+    let payloads = payloads.into_iter().chain(commands().into_iter().map(EntryPayload::Normal));
+    let entry = |(index, payload)| Entry { log_id: log_id(index), payload };
+    Call::Append(AppendEntriesRequest {
+        vote: Vote::new_committed(6, 3),
+        prev_log_id: Some(log_id(409)),
+        entries: (410..).zip(payloads).map(entry).collect(),
+        leader_commit: Some(log_id(408)),
+    })
+}
+
+fn heartbeat() -> Call {
+    let vote = Vote::new_committed(6, 3);
+    Call::Append(AppendEntriesRequest { vote, prev_log_id: None, entries: Vec::new(), leader_commit: None })
+}
+
+fn snapshot_chunk() -> Call {
+    Call::Snapshot(InstallSnapshotRequest {
+        vote: Vote::new_committed(6, 3),
+        meta: snapshot_meta(),
+        offset: 1_048_576,
+        data: vec![1, 2, 3],
+        done: true,
+    })
+}
+
+fn calls() -> Vec<Call> {
+    let request = Request { life: 1_000_001, number: 302, has: version(300) };
+    let mut calls = vec![
+        append(),
+        heartbeat(),
+        Call::Vote(VoteRequest::new(Vote::new(6, 3), Some(log_id(400)))),
+        snapshot_chunk(),
+        Call::Ask { holder: "s1".to_owned(), lease: 1_000_000_000, request },
+        Call::Found(document()),
+        Call::Voters(BTreeSet::from([1, 2, 4])),
+        Call::History,
+        Call::Status,
+    ];
+    calls.extend(commands().into_iter().map(Call::Command));
+    calls
+}
+
+fn refusals() -> Vec<Unanswered> {
+    vec![
+        Unanswered::NotLeading(Some(3)),
+        Unanswered::NotLeading(None),
+        Unanswered::NotVoting("no folder".to_owned()),
+        Unanswered::Refused(Refused::Changed(300)),
+        Unanswered::Refused(Refused::Unknown(301)),
+        Unanswered::Refused(Refused::Full),
+        Unanswered::NotFounded,
+        Unanswered::Founded,
+        Unanswered::NameTaken,
+        Unanswered::TooLarge,
+        Unanswered::OtherTerms(1_000),
+        Unanswered::NoMajority("no answer in time".to_owned()),
+    ]
+}
+
+fn holder_status() -> HolderStatus {
+    HolderStatus { name: "s1".to_owned(), has: Some(version(302)), earliest: version(301), left_ms: 812 }
+}
+
+fn lead() -> Lead {
+    Lead {
+        in_force: version(303),
+        newest: 12,
+        coming: 3,
+        waits: Some("s1 is too many steps behind".to_owned()),
+        holders: vec![holder_status(), HolderStatus { name: "s2".to_owned(), has: None, ..holder_status() }],
+    }
+}
+
+fn status() -> Status {
+    Status {
+        name: "s1".to_owned(),
+        build: "0.1.0".to_owned(),
+        version: Some(version(302)),
+        left_ms: 811,
+        careful_ms: 813,
+        bound_ms: 1_020,
+        not_voting: Some("the disk is full".to_owned()),
+        voter: Some(2),
+        leader: Some(3),
+        leads: Some(lead()),
+    }
+}
+
+fn status_of_no_voter() -> Status {
+    Status { version: None, not_voting: None, voter: None, leader: None, leads: None, ..status() }
+}
+
+fn answers() -> Vec<Answer> {
+    let step = Step::of(&document());
+    let grant = Grant { life: 1_000_001, number: 302, version: version(300), step: Some(step) };
+    let (expect, got) = (SnapshotSegmentId::from(("a", 1)), SnapshotSegmentId::from(("b", 2)));
+    let mismatch = InstallSnapshotError::SnapshotMismatch(SnapshotMismatch { expect, got });
+    let mut answers = vec![
+        Answer::Append(Ok(AppendEntriesResponse::Success)),
+        Answer::Append(Ok(AppendEntriesResponse::PartialSuccess(Some(log_id(400))))),
+        Answer::Append(Ok(AppendEntriesResponse::Conflict)),
+        Answer::Append(Ok(AppendEntriesResponse::HigherVote(Vote::new(6, 3)))),
+        Answer::Append(Err(RaftError::Fatal(Fatal::Stopped))),
+        Answer::Vote(Ok(VoteResponse::new(Vote::new(6, 3), Some(log_id(400)), true))),
+        Answer::Vote(Err(RaftError::Fatal(Fatal::Panicked))),
+        Answer::Snapshot(Ok(InstallSnapshotResponse { vote: Vote::new(6, 3) })),
+        Answer::Snapshot(Err(RaftError::APIError(mismatch))),
+        Answer::Granted(Box::new(grant)),
+        Answer::Done(12),
+        Answer::History(vec![(11, document()), (12, Document::default())]),
+        Answer::Status(Box::new(status())),
+        Answer::Status(Box::new(status_of_no_voter())),
+    ];
+    answers.extend(refusals().into_iter().map(Answer::No));
+    answers
+}
+
+#[test]
+fn every_message_keeps_its_bytes() {
+    let mut checker = Checker::default();
+    checker.check_all("command", &commands());
+    checker.check_all("call", &calls());
+    checker.check_all("refusal", &refusals());
+    checker.check("holder-status", &holder_status());
+    checker.check("lead", &lead());
+    checker.check("status", &status());
+    checker.check_all("answer", &answers());
+    checker.finish();
+}
