--- /dev/null
+++ b/crates/accord/tests/text_format.rs
@@ -0,0 +1,68 @@
+//! The text format of rules documents, compared with recorded files: neither keys nor texts may change unnoticed.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::Path;
+
+use nickelflow_accord::{Careful, Document, Standing};
+use rstest::rstest;
+
+const RULES: &str = include_str!("data/rules.toml");
+const WRITTEN: &str = include_str!("data/rules.written.toml");
+
+/// A document in which no field has its default value and each state of a worker occurs.
+fn every_field() -> Document {
+    Document {
+        schedulers: 3,
+        attempts: 5,
+        retry_after_ms: (50, 1_500),
+        quotas: BTreeMap::from([("emmental".to_owned(), 30.5), ("seeland".to_owned(), 20.0)]),
+        workers: BTreeMap::from([
+            ("w1".to_owned(), Standing::Cordoned),
+            ("w2".to_owned(), Standing::Drained),
+            ("w3".to_owned(), Standing::Never),
+            ("w4".to_owned(), Standing::Pinned("seeland".to_owned())),
+        ]),
+        careful: Careful {
+            share: 0.5,
+            workers: BTreeSet::from(["w5".to_owned(), "w6".to_owned()]),
+            others: false,
+            unlimited: false,
+        },
+        list: 41,
+    }
+}
+
+/// Compares with the recorded text; one that differs is kept for a look at it.
+fn assert_recorded(name: &str, recorded: &str, actual: &str) {
+    let kept = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&kept, actual).expect("written");
+    assert!(recorded == actual, "{name} differs; now, in {}:\n{actual}", kept.display());
+}
+
+#[test]
+fn every_key_of_a_rules_document_is_read() {
+    assert_eq!(Document::parse(RULES), Ok(every_field()));
+}
+
+#[test]
+fn a_written_document_equals_the_recorded_file() {
+    assert_recorded("rules.written.toml", WRITTEN, &every_field().write());
+}
+
+#[test]
+fn the_recorded_file_reads_back_to_the_same_document() {
+    assert_eq!(Document::parse(WRITTEN), Ok(every_field()));
+}
+
+#[rstest]
+#[case::values("broken.txt", include_str!("data/broken.toml"), include_str!("data/broken.txt"))]
+#[case::syntax("no_toml.txt", include_str!("data/no_toml.toml"), include_str!("data/no_toml.txt"))]
+fn faults_of_a_broken_document_equal_the_recorded_texts(
+    #[case] name: &str,
+    #[case] broken: &str,
+    #[case] recorded: &str,
+) {
+    let faults = Document::parse(broken).expect_err("it is broken");
+    let texts: String = faults.iter().map(|fault| format!("{fault}\n")).collect();
+    assert_recorded(name, recorded, &texts);
+}
