--- a/crates/drill/src/agreement.rs
+++ b/crates/chaos/src/agreement.rs
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use nickelflow_lab::random::{self, Random};
-use nickelflow_lab::scenario::{Bounded, Millis};
+use nickelflow_simulator::random::{self, Random};
+use nickelflow_simulator::scenario::{Bounded, Millis};
 use serde::Deserialize;
 use tokio::process::Command;
 
--- a/crates/drill/src/audit.rs
+++ b/crates/chaos/src/audit.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use nickelflow_lab::time::Nanos;
+use nickelflow_simulator::time::Nanos;
 use serde::Serialize;
 
 use crate::record::{Entry, Life, Party, Record, Standing};
--- a/crates/drill/src/audit_rules.rs
+++ b/crates/chaos/src/audit_rules.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use nickelflow_lab::time::{Nanos, MS};
+use nickelflow_simulator::time::{Nanos, MS};
 use serde::Deserialize;
 
 use crate::audit::{Finding, Rule};
--- a/crates/drill/src/hollow.rs
+++ b/crates/chaos/src/hollow.rs
@@ -15,7 +15,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use nickelflow_lab::time::Nanos;
+use nickelflow_simulator::time::Nanos;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
--- a/crates/drill/src/links.rs
+++ b/crates/chaos/src/links.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use nickelflow_lab::random::{self, Random};
+use nickelflow_simulator::random::{self, Random};
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, ReadHalf, WriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
--- a/crates/drill/src/main.rs
+++ b/crates/chaos/src/main.rs
@@ -1,4 +1,4 @@
-//! nickelflow-drill: many schedulers under faults, on the command line.
+//! nickelflow-chaos: many schedulers under faults, on the command line.
 #![forbid(unsafe_code)]
 
 use std::collections::BTreeMap;
@@ -7,15 +7,15 @@
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
-use nickelflow_drill::misbehaving::Misbehaving;
-use nickelflow_drill::processes::Faults;
-use nickelflow_drill::run::{run, Options, Outcome};
-use nickelflow_drill::scale::{self, Outcome as Measured};
-use nickelflow_drill::scale_file::Scale;
-use nickelflow_drill::scale_table::table;
-use nickelflow_drill::scenario::{Drill, Event};
-use nickelflow_drill::{nemesis, soak};
-use nickelflow_lab::scenario::Bounded;
+use nickelflow_chaos::misbehaving::Misbehaving;
+use nickelflow_chaos::processes::Faults;
+use nickelflow_chaos::run::{run, Options, Outcome};
+use nickelflow_chaos::scale::{self, Outcome as Measured};
+use nickelflow_chaos::scale_file::Scale;
+use nickelflow_chaos::scale_table::table;
+use nickelflow_chaos::scenario::{Drill, Event};
+use nickelflow_chaos::{nemesis, soak};
+use nickelflow_simulator::scenario::Bounded;
 use serde::Serialize;
 
 /// Plays several processes of the scheduler against stand-ins, with faults between them, and judges the record.
@@ -40,7 +40,7 @@
     /// Play a scenario under faults that are drawn from the seed, and print what was drawn.
     Nemesis {
         /// What takes part; its own events are left out.
-        #[arg(long, default_value = "lab/drills/nemesis.toml")]
+        #[arg(long, default_value = "chaos/scenarios/nemesis.toml")]
         scenario: PathBuf,
         #[arg(long, default_value_t = 1.0, value_parser = minutes)]
         minutes: f64,
@@ -57,7 +57,7 @@
     /// drawn from the seed. One seed is played again by the same line.
     Soak {
         /// What takes part; its own events are left out.
-        #[arg(long, default_value = "lab/drills/soak.toml")]
+        #[arg(long, default_value = "chaos/scenarios/soak.toml")]
         scenario: PathBuf,
         #[arg(long, default_value_t = 1.0, value_parser = minutes)]
         minutes: f64,
@@ -71,7 +71,7 @@
     Scale(Measure),
     /// Name the scenarios of a folder.
     List {
-        #[arg(default_value = "lab/drills")]
+        #[arg(default_value = "chaos/scenarios")]
         folder: PathBuf,
     },
 }
@@ -165,7 +165,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(why) => {
-            eprintln!("nickelflow-drill: {why}");
+            eprintln!("nickelflow-chaos: {why}");
             ExitCode::from(3)
         }
     }
@@ -205,7 +205,7 @@
             self.files.iter().map(|file| read(file)).partition(Result::is_ok);
         let wrong: Vec<String> = wrong.into_iter().filter_map(Result::err).flatten().collect();
         if !wrong.is_empty() {
-            wrong.iter().for_each(|why| eprintln!("nickelflow-drill: {why}"));
+            wrong.iter().for_each(|why| eprintln!("nickelflow-chaos: {why}"));
             return ExitCode::from(2);
         }
         match self.measure(wanted.into_iter().flatten()) {
@@ -214,7 +214,7 @@
                 ExitCode::SUCCESS
             }
             Err(why) => {
-                eprintln!("nickelflow-drill: {why}");
+                eprintln!("nickelflow-chaos: {why}");
                 ExitCode::from(3)
             }
         }
@@ -313,7 +313,7 @@
             file.flush().map_err(failed)?;
         }
         if let Some(path) = &self.html {
-            let page = nickelflow_lab::report::html(&outcome.document(drill, self.seed))?;
+            let page = nickelflow_simulator::report::html(&outcome.document(drill, self.seed))?;
             std::fs::write(path, page).map_err(|e| format!("{}: {e}", path.display()))?;
         }
         Ok(())
--- a/crates/drill/src/nemesis.rs
+++ b/crates/chaos/src/nemesis.rs
@@ -4,8 +4,8 @@
 //! Bounds: one fault begins every `gap` on average and lasts 0.5 to 5 s; never are more than a third of the
 //! schedulers killed or stopped by one event; workers are taken by the rack.
 
-use nickelflow_lab::random::{self, Concern, Random};
-use nickelflow_lab::scenario::Bounded;
+use nickelflow_simulator::random::{self, Concern, Random};
+use nickelflow_simulator::scenario::Bounded;
 
 use crate::scenario::{Drill, Event, Parties, Then, Way, What};
 
--- a/crates/drill/src/record.rs
+++ b/crates/chaos/src/record.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use nickelflow_lab::time::Nanos;
+use nickelflow_simulator::time::Nanos;
 use serde::{Deserialize, Serialize};
 
 /// Locks what no holder leaves half done: a panic of one is no reason for the others to stop.
--- a/crates/drill/src/run.rs
+++ b/crates/chaos/src/run.rs
@@ -6,10 +6,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use nickelflow_lab::report::{Document, Entry as Played, Lot, Plot, Span};
-use nickelflow_lab::scenario::Repeats;
-use nickelflow_lab::stats::Summary;
-use nickelflow_lab::time::{in_seconds, millis, seconds, MS};
+use nickelflow_simulator::report::{Document, Entry as Played, Lot, Plot, Span};
+use nickelflow_simulator::scenario::Repeats;
+use nickelflow_simulator::stats::Summary;
+use nickelflow_simulator::time::{in_seconds, millis, seconds, MS};
 use tokio::sync::Mutex;
 
 use crate::agreement::{Agreement, Operator};
@@ -262,7 +262,7 @@
 /// The rules' figures, with the platform's slack.
 fn law(drill: &Drill, racks: Vec<u32>) -> Law {
     let rules = &drill.world.rules;
-    let class = |class: &nickelflow_lab::scenario::Class| match class.repeats {
+    let class = |class: &nickelflow_simulator::scenario::Class| match class.repeats {
         Repeats::Harmless => Repeat::Any,
         Repeats::Rack => Repeat::Rack(seconds(class.window_s.0) + SLACK),
         Repeats::Never => Repeat::Never,
--- a/crates/drill/src/scale.rs
+++ b/crates/chaos/src/scale.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use nickelflow_lab::record::Standing as Listed;
-use nickelflow_lab::scenario::Scenario;
-use nickelflow_lab::time::{in_seconds, Nanos};
+use nickelflow_simulator::record::Standing as Listed;
+use nickelflow_simulator::scenario::Scenario;
+use nickelflow_simulator::time::{in_seconds, Nanos};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use tokio::signal::unix::{signal, SignalKind};
--- a/crates/drill/src/scale_file.rs
+++ b/crates/chaos/src/scale_file.rs
@@ -1,6 +1,6 @@
 //! Scale files: how large a run is, as TOML. All that is wrong with one is told at once, each with its line.
 
-use nickelflow_accord::{Fault, Reader};
+use nickelflow_rollout::{Fault, Reader};
 use serde::{Deserialize, Serialize};
 
 /// One size of the fleet after the other, under one load.
--- a/crates/drill/src/scale_table.rs
+++ b/crates/chaos/src/scale_table.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-use nickelflow_lab::runs::Mean;
+use nickelflow_simulator::runs::Mean;
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use statrs::statistics::Statistics;
--- a/crates/drill/src/scenario.rs
+++ b/crates/chaos/src/scenario.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::path::Path;
 
-use nickelflow_lab::scenario::{Bounded, Millis, Part, Scenario, Seconds};
+use nickelflow_simulator::scenario::{Bounded, Millis, Part, Scenario, Seconds};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 use crate::agreement::Agreement;
--- a/crates/drill/src/settings.rs
+++ b/crates/chaos/src/settings.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use nickelflow_lab::policy;
-use nickelflow_lab::scenario::{Repeats, Scenario};
+use nickelflow_simulator::policy;
+use nickelflow_simulator::scenario::{Repeats, Scenario};
 use serde_json::{json, Value};
 
 use crate::scenario::zone_name;
--- a/crates/drill/src/soak.rs
+++ b/crates/chaos/src/soak.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use nickelflow_lab::random::{self, Concern, Random};
-use nickelflow_lab::scenario::Bounded;
+use nickelflow_simulator::random::{self, Concern, Random};
+use nickelflow_simulator::scenario::Bounded;
 
 use crate::misbehaving::{Conduct, Misbehaving};
 use crate::nemesis;
--- a/crates/drill/src/timeline.rs
+++ b/crates/chaos/src/timeline.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use nickelflow_lab::record::Standing;
-use nickelflow_lab::time::seconds;
+use nickelflow_simulator::record::Standing;
+use nickelflow_simulator::time::seconds;
 use tokio::sync::Mutex;
 
 use crate::agreement::Operator;
--- a/crates/drill/src/workers/mod.rs
+++ b/crates/chaos/src/workers/mod.rs
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-use nickelflow_lab::archive::Archive;
-use nickelflow_lab::fleet::{Machine, Pressure};
-use nickelflow_lab::random::{self, Random};
-use nickelflow_lab::scenario::Scenario;
-use nickelflow_lab::time::{millis, Nanos};
-use nickelflow_lab::worker::{AttemptId, Effect, Load, Up, Worker as Model};
+use nickelflow_simulator::archive::Archive;
+use nickelflow_simulator::fleet::{Machine, Pressure};
+use nickelflow_simulator::random::{self, Random};
+use nickelflow_simulator::scenario::Scenario;
+use nickelflow_simulator::time::{millis, Nanos};
+use nickelflow_simulator::worker::{AttemptId, Effect, Load, Up, Worker as Model};
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, watch};
 
@@ -98,7 +98,9 @@
         all: Default::default(),
     });
     let mut workers = Vec::new();
-    for (number, machine) in nickelflow_lab::fleet::machines(scenario, &mut random).into_iter().enumerate() {
+    for (number, machine) in
+        nickelflow_simulator::fleet::machines(scenario, &mut random).into_iter().enumerate()
+    {
         workers.push(Worker::start(number as u32, machine, zones, &shared).await?);
     }
     let _ = shared.all.set(workers.clone());
--- a/crates/drill/tests/audit.rs
+++ b/crates/chaos/tests/audit.rs
@@ -1,8 +1,8 @@
 //! The auditor shown to fail: for each finding a record that is sound, and the same with one thing changed that breaks
 //! just that rule. And shown to excuse what the drill itself did.
 
-use nickelflow_drill::audit::{audit, Law, Repeat, Rule};
-use nickelflow_drill::record::{Entry, Life, Party, Record, Standing};
+use nickelflow_chaos::audit::{audit, Law, Repeat, Rule};
+use nickelflow_chaos::record::{Entry, Life, Party, Record, Standing};
 use rstest::rstest;
 
 const MS: u64 = 1_000_000;
--- a/crates/drill/tests/audit_rules.rs
+++ b/crates/chaos/tests/audit_rules.rs
@@ -1,8 +1,8 @@
 //! The auditor of agreed rules shown to fail: a record that is sound, and the same with one thing changed.
 
-use nickelflow_drill::audit::Rule;
-use nickelflow_drill::audit_rules::{audit_rules, Agreed};
-use nickelflow_drill::record::{Entry, Party, Record};
+use nickelflow_chaos::audit::Rule;
+use nickelflow_chaos::audit_rules::{audit_rules, Agreed};
+use nickelflow_chaos::record::{Entry, Party, Record};
 use rstest::rstest;
 
 const MS: u64 = 1_000_000;
--- a/crates/drill/tests/links.rs
+++ b/crates/chaos/tests/links.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use nickelflow_drill::links::{listen, scheduler_at, Link};
-use nickelflow_drill::record::Party;
+use nickelflow_chaos::links::{listen, scheduler_at, Link};
+use nickelflow_chaos::record::Party;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
--- a/crates/drill/tests/processes.rs
+++ b/crates/chaos/tests/processes.rs
@@ -8,14 +8,14 @@
 use std::process::Command;
 
 use common::{binary, fault_shim};
-use nickelflow_drill::processes::{Faults, Process};
-use nickelflow_drill::record::{Life, Party, Record, Scribe};
-use nickelflow_drill::run::{run, Options, Outcome};
-use nickelflow_drill::scenario::Drill;
+use nickelflow_chaos::processes::{Faults, Process};
+use nickelflow_chaos::record::{Life, Party, Record, Scribe};
+use nickelflow_chaos::run::{run, Options, Outcome};
+use nickelflow_chaos::scenario::Drill;
 use rstest::rstest;
 
 fn play(name: &str) -> (Drill, Outcome) {
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/drills").join(name);
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../chaos/scenarios").join(name);
     let drill = Drill::load(&file).expect("a sound drill");
     let outcome = play_drill(&drill);
     (drill, outcome)
@@ -77,7 +77,7 @@
 }
 
 fn rules() -> Drill {
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/drills/rules.toml");
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../chaos/scenarios/rules.toml");
     Drill::load(&file).expect("a sound drill")
 }
 
@@ -116,11 +116,11 @@
 fn a_lease_that_is_honoured_too_long_is_found() {
     let mut drill = rules();
     drill.events.truncate(2);
-    drill.world.duration_s = nickelflow_lab::scenario::Bounded(8.0);
-    drill.rules.as_mut().expect("rules").honour_ms = Some(nickelflow_lab::scenario::Bounded(30_000.0));
+    drill.world.duration_s = nickelflow_simulator::scenario::Bounded(8.0);
+    drill.rules.as_mut().expect("rules").honour_ms = Some(nickelflow_simulator::scenario::Bounded(30_000.0));
     let outcome = play_drill(&drill);
     let old =
-        |finding: &nickelflow_drill::audit::Finding| finding.rule == nickelflow_drill::audit::Rule::OldRules;
+        |finding: &nickelflow_chaos::audit::Finding| finding.rule == nickelflow_chaos::audit::Rule::OldRules;
     assert!(outcome.findings.iter().any(old), "{:?}", outcome.findings);
 }
 
@@ -130,7 +130,7 @@
 fn voters_come_back_by_themselves_once_their_folders_take_writes() {
     let mut drill = rules();
     drill.events.truncate(2);
-    drill.world.duration_s = nickelflow_lab::scenario::Bounded(12.0);
+    drill.world.duration_s = nickelflow_simulator::scenario::Bounded(12.0);
     let plan = "files=1 from_ms=1500 to_ms=4500".to_owned();
     let faults = Faults { library: fault_shim(), plan };
     let faults = (0..3).map(|voter| (voter, faults.clone())).collect();
--- a/crates/drill/tests/record_format.rs
+++ b/crates/chaos/tests/record_format.rs
@@ -1,6 +1,6 @@
 //! The lines of a drill's record as JSON, one of each kind of entry, compared with a recorded file.
 
-use nickelflow_drill::record::{Entry, Life, Party, Record, Standing};
+use nickelflow_chaos::record::{Entry, Life, Party, Record, Standing};
 
 const RECORDED: &str = include_str!("data/record.jsonl");
 
--- a/crates/drill/tests/scale.rs
+++ b/crates/chaos/tests/scale.rs
@@ -6,9 +6,9 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use nickelflow_drill::scale::{play, Options, Outcome, Sample};
-use nickelflow_drill::scale_file::Scale;
-use nickelflow_drill::scale_table::{noise, table, Line};
+use nickelflow_chaos::scale::{play, Options, Outcome, Sample};
+use nickelflow_chaos::scale_file::Scale;
+use nickelflow_chaos::scale_table::{noise, table, Line};
 use rstest::rstest;
 
 /// The empty line of a watch as a chunk, and how many of them may fall into what is measured.
@@ -125,7 +125,7 @@
     std::fs::write(&wrong, WRONG).expect("a file");
     std::fs::write(&torn, "name = \"torn\nseconds = 1").expect("a file");
     let none = folder.path().join("none.toml");
-    let told = Command::new(env!("CARGO_BIN_EXE_nickelflow-drill"))
+    let told = Command::new(env!("CARGO_BIN_EXE_nickelflow-chaos"))
         .arg("scale")
         .args([&wrong, &torn, &none])
         .output()
@@ -183,16 +183,18 @@
 }
 
 #[rstest]
-fn files_of_the_repository_are_sound(#[files("../../lab/scale/*.toml")] file: PathBuf) {
+fn files_of_the_repository_are_sound(#[files("../../chaos/scale/*.toml")] file: PathBuf) {
     let text = std::fs::read_to_string(&file).expect("a file");
     Scale::parse(&text).map(drop).expect("a sound file");
 }
 
 #[rstest]
-fn measured_figures_of_the_repository_can_be_printed_again(#[files("../../lab/scale/*.json")] file: PathBuf) {
+fn measured_figures_of_the_repository_can_be_printed_again(
+    #[files("../../chaos/scale/*.json")] file: PathBuf,
+) {
     let text = std::fs::read_to_string(&file).expect("a file");
     let outcomes: Vec<Outcome> = serde_json::from_str(&text).expect("results");
-    let printed = Command::new(env!("CARGO_BIN_EXE_nickelflow-drill")).arg("scale").arg(&file).output();
+    let printed = Command::new(env!("CARGO_BIN_EXE_nickelflow-chaos")).arg("scale").arg(&file).output();
     let printed = printed.expect("the drill runs");
     assert!(printed.status.success());
     let printed = String::from_utf8(printed.stdout).expect("text");
--- a/crates/drill/tests/scenarios.rs
+++ b/crates/chaos/tests/scenarios.rs
@@ -3,12 +3,12 @@
 
 use std::path::{Path, PathBuf};
 
-use nickelflow_drill::nemesis::draw;
-use nickelflow_drill::scenario::{Drill, Event, What};
+use nickelflow_chaos::nemesis::draw;
+use nickelflow_chaos::scenario::{Drill, Event, What};
 use rstest::rstest;
 
 fn folder() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/drills")
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../chaos/scenarios")
 }
 
 fn nemesis() -> Drill {
@@ -16,7 +16,7 @@
 }
 
 #[rstest]
-fn drills_of_the_repository_are_sound(#[files("../../lab/drills/*.toml")] file: PathBuf) {
+fn drills_of_the_repository_are_sound(#[files("../../chaos/scenarios/*.toml")] file: PathBuf) {
     Drill::load(&file).map(drop).expect("a sound drill");
 }
 
@@ -45,7 +45,7 @@
         events: Vec<Event>,
     }
     let mut drill = nemesis();
-    drill.world.duration_s = nickelflow_lab::scenario::Bounded(600.0);
+    drill.world.duration_s = nickelflow_simulator::scenario::Bounded(600.0);
     let drawn = Events { events: draw(&drill, 7, 1.0) };
     assert_eq!(draw(&drill, 7, 1.0), drawn.events);
     assert_ne!(draw(&drill, 8, 1.0), drawn.events);
--- a/crates/drill/tests/soak.rs
+++ b/crates/chaos/tests/soak.rs
@@ -5,13 +5,13 @@
 use std::path::Path;
 
 use common::{binary, fault_shim};
-use nickelflow_drill::run::{run, Options};
-use nickelflow_drill::scenario::{Drill, What};
-use nickelflow_drill::soak::{draw, faults};
-use nickelflow_lab::scenario::Bounded;
+use nickelflow_chaos::run::{run, Options};
+use nickelflow_chaos::scenario::{Drill, What};
+use nickelflow_chaos::soak::{draw, faults};
+use nickelflow_simulator::scenario::Bounded;
 
 fn world(seconds: f64) -> Drill {
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/drills/soak.toml");
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../chaos/scenarios/soak.toml");
     let mut drill = Drill::load(&file).expect("a sound drill");
     drill.world.duration_s = Bounded(seconds);
     drill
--- a/crates/drill/tests/status.rs
+++ b/crates/chaos/tests/status.rs
@@ -1,6 +1,6 @@
 //! What the drill reads from the words of the program under test.
 
-use nickelflow_drill::agreement::in_force;
+use nickelflow_chaos::agreement::in_force;
 
 #[test]
 fn what_status_prints_is_read() {
--- a/crates/console/src/rules.rs
+++ b/crates/cli/src/rules.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use nickelflow_accord::Document;
-use nickelflow_council::{prepare, Answer, Call, Command, Peers, Status, Unanswered};
+use nickelflow_control_plane::{prepare, Answer, Call, Command, Peers, Status, Unanswered};
+use nickelflow_rollout::Document;
 
 use crate::options::RulesDo;
 use crate::settings::RulesSettings;
--- a/crates/console/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use nickelflow_accord::Terms;
+use nickelflow_rollout::Terms;
 use serde::Deserialize;
 
 use crate::{status, Failed};
--- a/crates/console/tests/files.rs
+++ b/crates/cli/tests/files.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use clap::Parser;
-use nickelflow_console::{check, status, Do, Failed, Options, RulesDo, Settings};
+use nickelflow_cli::{check, status, Do, Failed, Options, RulesDo, Settings};
 use rstest::rstest;
 
 fn load(text: &str) -> Result<Settings, Failed> {
--- a/crates/console/tests/text_format.rs
+++ b/crates/cli/tests/text_format.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use nickelflow_console::{check, status, Failed, RulesSettings, Settings};
+use nickelflow_cli::{check, status, Failed, RulesSettings, Settings};
 
 const EVERY_KEY: &str = include_str!("data/settings.toml");
 
@@ -67,10 +67,10 @@
 
 #[test]
 fn check_prints_the_recorded_texts_for_a_broken_document() {
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../accord/tests/data/broken.toml");
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../rollout/tests/data/broken.toml");
     let Failed(status, why) = check(&file).map(drop).expect_err("refused");
     assert_eq!(status, status::USAGE);
-    let recorded: Vec<String> = include_str!("../../accord/tests/data/broken.txt")
+    let recorded: Vec<String> = include_str!("../../rollout/tests/data/broken.txt")
         .lines()
         .map(|fault| format!("{}: {fault}", file.display()))
         .collect();
--- a/crates/council/src/chamber.rs
+++ b/crates/control-plane/src/chamber.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use nickelflow_accord::{Document, Grantor, Nanos, Request, Terms, Version};
+use nickelflow_rollout::{Document, Grantor, Nanos, Request, Terms, Version};
 use openraft::error::{CheckIsLeaderError, ClientWriteError, RaftError};
 use tokio::sync::{mpsc, oneshot};
 
@@ -221,7 +221,7 @@
 }
 
 /// What holders have told that they have.
-fn told(rules: &nickelflow_accord::Decider, grantor: &Grantor) -> BTreeMap<String, Version> {
+fn told(rules: &nickelflow_rollout::Decider, grantor: &Grantor) -> BTreeMap<String, Version> {
     rules.seats().filter_map(|(name, _)| Some((name.to_owned(), grantor.has(name)?))).collect()
 }
 
--- a/crates/council/src/holding.rs
+++ b/crates/control-plane/src/holding.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::Duration;
 
-use nickelflow_accord::{Grant, Holder, InForce, Terms, Version};
+use nickelflow_rollout::{Grant, Holder, InForce, Terms, Version};
 use tokio::sync::watch;
 use tracing::{info, warn};
 
--- a/crates/council/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,4 +1,4 @@
-//! Schedulers that agree on rules: the processes round the pure machines of `nickelflow-accord`.
+//! Schedulers that agree on rules: the processes round the pure machines of `nickelflow-rollout`.
 //!
 //! Three or five **voters** keep one log on disk (`openraft`) of what is proposed and decided. The one that leads them
 //! grants leases on the version in force, each only after a majority has confirmed that it still leads, and goes on to
@@ -26,7 +26,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use nickelflow_accord::{Step, Version};
+use nickelflow_rollout::{Step, Version};
 
 /// What a scheduler was last granted: in full until then, and after that only by its careful rules.
 #[derive(Clone, Debug)]
@@ -45,11 +45,11 @@
         Clock(Instant::now())
     }
 
-    pub fn now(&self) -> nickelflow_accord::Nanos {
+    pub fn now(&self) -> nickelflow_rollout::Nanos {
         self.0.elapsed().as_nanos() as u64
     }
 
-    pub fn instant(&self, at: nickelflow_accord::Nanos) -> Instant {
+    pub fn instant(&self, at: nickelflow_rollout::Nanos) -> Instant {
         self.0 + std::time::Duration::from_nanos(at)
     }
 }
--- a/crates/council/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use nickelflow_accord::{Document, Grant, Refused, Request, Version};
+use nickelflow_rollout::{Document, Grant, Refused, Request, Version};
 use serde::{Deserialize, Serialize};
 
 use crate::raft::{self, Types};
--- a/crates/council/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -14,7 +14,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use nickelflow_accord::Terms;
+use nickelflow_rollout::Terms;
 use openraft::error::{ClientWriteError, RaftError};
 use openraft::{Config, EmptyNode, SnapshotPolicy};
 use tokio::sync::{oneshot, watch, Semaphore};
@@ -302,7 +302,7 @@
     }
 
     /// Makes the configured voters the first ones, and this document the first rules.
-    async fn found(&self, vote: &Vote, document: nickelflow_accord::Document) -> Result<u64, Unanswered> {
+    async fn found(&self, vote: &Vote, document: nickelflow_rollout::Document) -> Result<u64, Unanswered> {
         small(&document)?;
         if !vote.raft.is_initialized().await.map_err(|e| Unanswered::NoMajority(e.to_string()))? {
             let voters: BTreeSet<u64> = self.settings.voters.keys().copied().collect();
--- a/crates/council/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -3,7 +3,7 @@
 use std::io::Cursor;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use nickelflow_accord::{Decider, Refused, Version};
+use nickelflow_rollout::{Decider, Refused, Version};
 use openraft::storage::{RaftSnapshotBuilder, RaftStateMachine};
 use openraft::{EntryPayload, OptionalSend, RaftLogId, Snapshot, StorageIOError};
 use serde::{Deserialize, Serialize};
--- a/crates/council/tests/councils.rs
+++ b/crates/control-plane/tests/councils.rs
@@ -8,10 +8,10 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use nickelflow_accord::{Document, Refused, Standing, Terms, Version};
-use nickelflow_council::{
+use nickelflow_control_plane::{
     prepare, start, Answer, Call, Command, Council, Peers, Settings, Status, Unanswered, Voting,
 };
+use nickelflow_rollout::{Document, Refused, Standing, Terms, Version};
 
 const FLEET: &str = "emmental";
 /// Only so that a test that hangs ends.
--- a/crates/council/tests/message_bytes.rs
+++ b/crates/control-plane/tests/message_bytes.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
-use nickelflow_accord::{Document, Grant, Refused, Request, Standing, Step, Version};
-use nickelflow_council::{Answer, Call, Command, HolderStatus, Lead, Status, Unanswered};
+use nickelflow_control_plane::{Answer, Call, Command, HolderStatus, Lead, Status, Unanswered};
+use nickelflow_rollout::{Document, Grant, Refused, Request, Standing, Step, Version};
 use openraft::error::{Fatal, InstallSnapshotError, RaftError, SnapshotMismatch};
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
--- a/crates/council/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -14,10 +14,10 @@
 use std::time::{Duration, Instant};
 
 use flate2::read::GzDecoder;
-use nickelflow_accord::{Decider, Document, Terms, Version};
-use nickelflow_council::{
+use nickelflow_control_plane::{
     start, Answer, Call, Command, Council, Lead, Peers, Settings, Status, Unanswered, Voting,
 };
+use nickelflow_rollout::{Decider, Document, Terms, Version};
 use openraft::{EmptyNode, LogId, SnapshotMeta, StoredMembership};
 use redb::{ReadableTable, ReadableTableMetadata, TableDefinition};
 
--- a/crates/daemon/src/agreed.rs
+++ b/crates/daemon/src/agreed.rs
@@ -5,9 +5,9 @@
 use std::time::Instant;
 
 use hyper::header::HeaderValue;
-use nickelflow_accord::{Step, Use, Version};
-use nickelflow_council::{Council, Told};
+use nickelflow_control_plane::{Council, Told};
 use nickelflow_engine::{hash, CarefulRules, RuledUse, Rules};
+use nickelflow_rollout::{Step, Use, Version};
 use tokio::sync::{mpsc, watch};
 use tracing::warn;
 
@@ -17,10 +17,13 @@
 const MS: u64 = 1_000_000;
 
 /// Begins to agree with others, on a listener of its own.
-pub async fn begin(settings: nickelflow_council::Settings, address: SocketAddr) -> Result<Council, String> {
+pub async fn begin(
+    settings: nickelflow_control_plane::Settings,
+    address: SocketAddr,
+) -> Result<Council, String> {
     let failed = |e| format!("rules.listen: cannot listen on {address}: {e}");
     let listener = listen(address).await.and_then(tokio::net::TcpListener::into_std).map_err(failed)?;
-    nickelflow_council::start(settings, listener)
+    nickelflow_control_plane::start(settings, listener)
 }
 
 /// Tells the core of each change, for as long as both run; many changes at once become one.
@@ -77,8 +80,8 @@
     }
     let workers = step.uses.iter().map(|(worker, put)| {
         let put = match put {
-            Use::None(nickelflow_accord::Standing::Drained) => RuledUse::Drained,
-            Use::None(nickelflow_accord::Standing::Never) => RuledUse::Never,
+            Use::None(nickelflow_rollout::Standing::Drained) => RuledUse::Drained,
+            Use::None(nickelflow_rollout::Standing::Never) => RuledUse::Never,
             Use::None(_) => RuledUse::Cordoned,
             Use::Own(tenant) | Use::Reserved(tenant) => match number(tenant) {
                 Some(number) => {
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use nickelflow::{Class, Contract, Effect, Group, Settings, Tenant};
+use nickelflow_dispatcher::{Class, Contract, Effect, Group, Settings, Tenant};
 
 use crate::json::{self, Field};
 use crate::list::{EntryNames, List};
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -14,7 +14,7 @@
 
 use bytes::Bytes;
 use hyper::header::HeaderValue;
-use nickelflow::Effect;
+use nickelflow_dispatcher::Effect;
 pub use nickelflow_engine::permits::Stop;
 use nickelflow_engine::permits::Violation;
 use nickelflow_engine::{Engine, Input as Happened, Instance, Job as Facts, Nanos, Order as Ordered};
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -28,7 +28,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use nickelflow_council::Told;
+use nickelflow_control_plane::Told;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 use tracing::info;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use clap::Parser;
-use nickelflow_console::{check, rules, status, Do, Failed, LogFormat, Options, RulesSettings, Settings};
-use nickelflow_council::Council;
+use nickelflow_cli::{check, rules, status, Do, Failed, LogFormat, Options, RulesSettings, Settings};
+use nickelflow_control_plane::Council;
 use nickelflow_daemon::config::{self, Config};
 use nickelflow_daemon::counters::Shared;
 use nickelflow_daemon::shutdown::{self, Signals, Terms};
@@ -16,11 +16,11 @@
 /// Begins to agree with others on rules, under a name.
 async fn agree(settings: &RulesSettings, name: &str) -> Result<Council, String> {
     let voting = settings.voter.zip(settings.data.clone());
-    let council = nickelflow_council::Settings {
+    let council = nickelflow_control_plane::Settings {
         fleet: settings.fleet.clone(),
         name: settings.name.clone().unwrap_or_else(|| name.to_owned()),
         voters: settings.voters()?,
-        voting: voting.map(|(id, data)| nickelflow_council::Voting { id, data }),
+        voting: voting.map(|(id, data)| nickelflow_control_plane::Voting { id, data }),
         terms: settings.terms()?,
         honoured: settings.honoured()?,
         build: env!("CARGO_PKG_VERSION").to_owned(),
--- a/crates/daemon/tests/text_format.rs
+++ b/crates/daemon/tests/text_format.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use nickelflow::{Effect, Group};
 use nickelflow_daemon::config::Config;
+use nickelflow_dispatcher::{Effect, Group};
 use nickelflow_engine::Membership;
 
 const EVERY_KEY: &[u8] = include_bytes!("data/every_key.json");
--- a/crates/decisions/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -5,7 +5,7 @@
 //! the same actions.
 //!
 //! ```
-//! use nickelflow::{
+//! use nickelflow_dispatcher::{
 //!     Action, Class, Contract, Dispatcher, Effect, Event, ListKind, Membership, Outcome, Report, Request,
 //!     RequestId, Settings, WorkerEntry, WorkerId,
 //! };
@@ -74,7 +74,7 @@
 //! };
 //! dispatcher.handle(at + 2 * MS, Event::Request(request), &mut actions);
 //! assert!(matches!(actions[0], Action::Send { worker: WorkerId(0), .. }));
-//! # Ok::<(), nickelflow::SettingsError>(())
+//! # Ok::<(), nickelflow_dispatcher::SettingsError>(())
 //! ```
 #![forbid(unsafe_code)]
 
--- a/crates/decisions/tests/agreed.rs
+++ b/crates/dispatcher/tests/agreed.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use common::*;
-use nickelflow::*;
+use nickelflow_dispatcher::*;
 use rstest::rstest;
 
 const TENANT: u32 = 0;
--- a/crates/decisions/tests/cold_fleet/deployment.rs
+++ b/crates/dispatcher/tests/cold_fleet/deployment.rs
@@ -1,6 +1,6 @@
 //! The deployments that are played: their settings, jobs and workers.
 
-use nickelflow::*;
+use nickelflow_dispatcher::*;
 
 use crate::common::{class, lognormal, settings, S};
 
--- a/crates/decisions/tests/cold_fleet/fleet.rs
+++ b/crates/dispatcher/tests/cold_fleet/fleet.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-use nickelflow::*;
+use nickelflow_dispatcher::*;
 
 use crate::common::{self, entry, MS, S};
 use crate::deployment::Deployment;
--- a/crates/decisions/tests/cold_start.rs
+++ b/crates/dispatcher/tests/cold_start.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{class, lognormal, settings, S};
-use nickelflow::cold_start::*;
-use nickelflow::service_rate::*;
-use nickelflow::*;
+use nickelflow_dispatcher::cold_start::*;
+use nickelflow_dispatcher::service_rate::*;
+use nickelflow_dispatcher::*;
 
 const SECOND: f64 = 1e9;
 
--- a/crates/decisions/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A dispatcher with hands: feeds events, carries actions out by noting them.
 #![allow(dead_code)]
 
-use nickelflow::*;
+use nickelflow_dispatcher::*;
 
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000 * MS;
--- a/crates/decisions/tests/indexes.rs
+++ b/crates/dispatcher/tests/indexes.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-use nickelflow::index::{mix, Agenda, Counts, Hold, Pool, Ring};
+use nickelflow_dispatcher::index::{mix, Agenda, Counts, Hold, Pool, Ring};
 use proptest::prelude::*;
 
 proptest! {
--- a/crates/decisions/tests/properties.rs
+++ b/crates/dispatcher/tests/properties.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use nickelflow::*;
+use nickelflow_dispatcher::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/crates/decisions/tests/scenarios.rs
+++ b/crates/dispatcher/tests/scenarios.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use nickelflow::*;
+use nickelflow_dispatcher::*;
 use rstest::rstest;
 
 // ---- the mechanism ---------------------------------------------------------------------------------------
--- a/crates/decisions/tests/shares.rs
+++ b/crates/dispatcher/tests/shares.rs
@@ -1,7 +1,7 @@
 //! Which of its traffic a dispatcher takes to be within its tenant's share.
 
-use nickelflow::meters::*;
-use nickelflow::*;
+use nickelflow_dispatcher::meters::*;
+use nickelflow_dispatcher::*;
 
 const SECOND: f64 = 1e9;
 /// Quota over use of the middle tenant.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -4,7 +4,7 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::hash::Hash;
 
-use nickelflow::{
+use nickelflow_dispatcher::{
     Action, Class, Dispatcher, Event, ListKind, Membership, Nanos, Outcome, Request, RequestId, Settings,
     SettingsError, WorkerEntry, WorkerId,
 };
--- a/crates/engine/src/instances.rs
+++ b/crates/engine/src/instances.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use nickelflow::{Membership, Nanos, WorkerEntry, WorkerId};
+use nickelflow_dispatcher::{Membership, Nanos, WorkerEntry, WorkerId};
 
 /// One line of a list of instances, as the host has it.
 #[derive(Clone, Debug)]
--- a/crates/engine/src/interface.rs
+++ b/crates/engine/src/interface.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use nickelflow::{ListKind, Nanos, Outcome, Report, Rules};
+use nickelflow_dispatcher::{ListKind, Nanos, Outcome, Report, Rules};
 
 use crate::instances::Instance;
 
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,4 +1,4 @@
-//! What stands between the decisions of [`nickelflow`] and any outside: the jobs that are open, their
+//! What stands between the decisions of [`nickelflow_dispatcher`] and any outside: the jobs that are open, their
 //! attempts, the single final answer of each, and the names of the instances. A state machine without I/O,
 //! clock, tasks or threads; a host round it does the sending.
 //!
@@ -49,8 +49,8 @@
 pub use engine::Engine;
 pub use instances::{Instance, Known};
 pub use interface::{Answer, End, Execute, Input, Job, Misuse, Order};
-pub use nickelflow::{CarefulRules, RuledUse, Rules};
-pub use nickelflow::{ListKind, Membership, Nanos, Outcome, Report, Settings, SettingsError};
+pub use nickelflow_dispatcher::{CarefulRules, RuledUse, Rules};
+pub use nickelflow_dispatcher::{ListKind, Membership, Nanos, Outcome, Report, Settings, SettingsError};
 
 /// FNV-1a, 64 bits: the same for every scheduler and build, so that all rank the instances for a key alike.
 /// Use it for [`Job::key`].
--- a/crates/engine/src/open_job.rs
+++ b/crates/engine/src/open_job.rs
@@ -1,6 +1,6 @@
 //! What the engine knows of a job that is not forgotten yet, and of its attempts.
 
-use nickelflow::{Nanos, Outcome, WorkerEntry};
+use nickelflow_dispatcher::{Nanos, Outcome, WorkerEntry};
 
 use crate::interface::Order;
 use crate::permits::EarlierAttempt;
--- a/crates/engine/src/permits.rs
+++ b/crates/engine/src/permits.rs
@@ -9,7 +9,7 @@
 
 use std::fmt;
 
-use nickelflow::{Class, Effect, Group, Nanos, WorkerEntry};
+use nickelflow_dispatcher::{Class, Effect, Group, Nanos, WorkerEntry};
 
 /// Why something may not be done now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/engine/tests/permits.rs
+++ b/crates/engine/tests/permits.rs
@@ -1,6 +1,6 @@
 //! The rules in the one place that decides: each fact by itself, and those that cross.
 
-use nickelflow::{Class, Effect, Group, Membership, WorkerEntry, WorkerId};
+use nickelflow_dispatcher::{Class, Effect, Group, Membership, WorkerEntry, WorkerId};
 use nickelflow_engine::permits::{
     attempt, close, refusal, take, write, AttemptFacts, CloseFacts, Denial, EarlierAttempt, Stop, WriteFacts,
 };
--- a/crates/engine/tests/promises.rs
+++ b/crates/engine/tests/promises.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashMap, HashSet};
 
-use nickelflow::{Class, Contract, Effect, Group};
+use nickelflow_dispatcher::{Class, Contract, Effect, Group};
 use nickelflow_engine::{
     hash, Answer, End, Engine, Execute, Input, Instance, Job, ListKind, Membership, Misuse, Nanos, Order,
     Outcome, Report, Settings,
--- a/crates/engine/tests/windows.rs
+++ b/crates/engine/tests/windows.rs
@@ -4,7 +4,7 @@
 
 use std::cell::Cell;
 
-use nickelflow::{Class, Contract, Effect, Group, Settings};
+use nickelflow_dispatcher::{Class, Contract, Effect, Group, Settings};
 use nickelflow_engine::{
     Engine, Execute, Input, Instance, Job, ListKind, Membership, Nanos, Order, Outcome, Report,
 };
--- a/crates/accord/tests/decider.rs
+++ b/crates/rollout/tests/decider.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use nickelflow_accord::{Careful, Contradiction, Decider, Document, Refused, Standing, Use, Version, Waits};
+use nickelflow_rollout::{Careful, Contradiction, Decider, Document, Refused, Standing, Use, Version, Waits};
 
 fn document(quota: f64, workers: &[(&str, Standing)], core: &[&str]) -> Document {
     Document {
--- a/crates/accord/tests/documents.rs
+++ b/crates/rollout/tests/documents.rs
@@ -1,6 +1,6 @@
 //! Documents: what is wrong is told all at once, each fault with its line and field.
 
-use nickelflow_accord::{Document, Fault, Standing};
+use nickelflow_rollout::{Document, Fault, Standing};
 use rstest::rstest;
 
 const SOUND: &str = r#"
--- a/crates/accord/tests/leases.rs
+++ b/crates/rollout/tests/leases.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BinaryHeap};
 
-use nickelflow_accord::{
+use nickelflow_rollout::{
     Careful, Decider, Document, Grant, Grantor, Holder, InForce, Nanos, Request, Standing, Step, Terms,
     Version,
 };
--- a/crates/accord/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -6,7 +6,7 @@
 
 use std::hash::{Hash, Hasher};
 
-use nickelflow_accord::{Document, Grant, Grantor, Holder, InForce, Nanos, Request, Step, Terms, Version};
+use nickelflow_rollout::{Document, Grant, Grantor, Holder, InForce, Nanos, Request, Step, Terms, Version};
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
--- a/crates/accord/tests/plan.rs
+++ b/crates/rollout/tests/plan.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use nickelflow_accord::{plan, Careful, Document, Places, Standing, Step};
+use nickelflow_rollout::{plan, Careful, Document, Places, Standing, Step};
 use proptest::prelude::*;
 
 const TENANTS: [&str; 3] = ["bern", "emmental", "seeland"];
@@ -75,7 +75,7 @@
 }
 
 fn pinned(step: &Step, worker: &str, tenant: &str) -> bool {
-    step.uses.get(worker) == Some(&nickelflow_accord::Use::Own(tenant.to_owned()))
+    step.uses.get(worker) == Some(&nickelflow_rollout::Use::Own(tenant.to_owned()))
 }
 
 /// Whether two who act side by side break what one of them relies on.
@@ -104,7 +104,7 @@
 }
 
 /// The rack of a key by a set, as rendezvous hashing has it.
-fn place(set: &nickelflow_accord::Set, key: u64) -> Option<&'static str> {
+fn place(set: &nickelflow_rollout::Set, key: u64) -> Option<&'static str> {
     let hash = |w: &str| {
         let mut x = key ^ set.list.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         w.bytes().for_each(|b| x = (x ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3));
--- a/crates/accord/tests/stored_bytes.rs
+++ b/crates/rollout/tests/stored_bytes.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
-use nickelflow_accord::{
+use nickelflow_rollout::{
     Careful, Decider, Document, Grant, Places, Refused, Request, Set, Standing, Step, Terms, Use, Version,
 };
 use serde::de::DeserializeOwned;
--- a/crates/accord/tests/text_format.rs
+++ b/crates/rollout/tests/text_format.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-use nickelflow_accord::{Careful, Document, Standing};
+use nickelflow_rollout::{Careful, Document, Standing};
 use rstest::rstest;
 
 const RULES: &str = include_str!("data/rules.toml");
--- a/crates/simhost/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -2,7 +2,7 @@
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use nickelflow::{Class, Contract, Effect, Group, Tenant};
+use nickelflow_dispatcher::{Class, Contract, Effect, Group, Tenant};
 use nickelflow_engine::{
     hash, Answer, End, Engine, Execute, Input, Instance as Listed, Job, ListKind, Membership, Nanos, Order,
     Outcome, Report, Settings,
--- a/crates/simhost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! nickelflow-simhost: runs one nickelflow `Dispatcher` per instance on the bench's wire. It translates, and
+//! nickelflow-simulator-adapter: runs one nickelflow `Dispatcher` per instance on the bench's wire. It translates, and
 //! decides nothing.
 
 mod instance;
@@ -40,7 +40,7 @@
 
 fn main() -> ExitCode {
     // A panic of the module goes out as the wire's own action; nothing else may be printed.
-    std::panic::set_hook(Box::new(|info| eprintln!("nickelflow-simhost: {info}")));
+    std::panic::set_hook(Box::new(|info| eprintln!("nickelflow-simulator-adapter: {info}")));
     let mut input = io::stdin().lock();
     let mut out = BufWriter::with_capacity(1 << 16, io::stdout().lock());
     let mut instances = BTreeMap::new();
@@ -51,12 +51,12 @@
             Ok(0) => break,
             Ok(_) => {}
             Err(e) => {
-                eprintln!("nickelflow-simhost: line {number}: {e}");
+                eprintln!("nickelflow-simulator-adapter: line {number}: {e}");
                 return ExitCode::FAILURE;
             }
         }
         if let Err(what) = answer(&line, &mut instances, &mut out) {
-            eprintln!("nickelflow-simhost: line {number}: {what}");
+            eprintln!("nickelflow-simulator-adapter: line {number}: {what}");
             return ExitCode::FAILURE;
         }
     }
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_nickelflow-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_nickelflow-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/lab/src/commands.rs
+++ b/crates/simulator/src/commands.rs
@@ -7,11 +7,11 @@
 
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use nickelflow_lab::policy::{self, Kind};
-use nickelflow_lab::report::{html, Document};
-use nickelflow_lab::runs::{self, Figure, Judgement, Mean, Run};
-use nickelflow_lab::scenario::Scenario;
-use nickelflow_lab::world::{Watch, World};
+use nickelflow_simulator::policy::{self, Kind};
+use nickelflow_simulator::report::{html, Document};
+use nickelflow_simulator::runs::{self, Figure, Judgement, Mean, Run};
+use nickelflow_simulator::scenario::Scenario;
+use nickelflow_simulator::world::{Watch, World};
 use serde_json::json;
 
 /// Plays scenarios of the whole service in virtual time.
@@ -87,7 +87,7 @@
     Check { files: Vec<PathBuf> },
     /// Name the policies, and the scenarios of a folder.
     List {
-        #[arg(default_value = "lab/scenarios")]
+        #[arg(default_value = "simulator/scenarios")]
         folder: PathBuf,
     },
 }
--- a/crates/lab/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! nickelflow-lab: plays scenarios in virtual time, compares policies, and traces single requests.
+//! nickelflow-simulator: plays scenarios in virtual time, compares policies, and traces single requests.
 
 mod commands;
 
@@ -10,7 +10,7 @@
     match commands::Cli::parse().run() {
         Ok(code) => code,
         Err(why) => {
-            eprintln!("nickelflow-lab: {why}");
+            eprintln!("nickelflow-simulator: {why}");
             ExitCode::FAILURE
         }
     }
--- a/crates/lab/src/policy/bare.rs
+++ b/crates/simulator/src/policy/bare.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use nickelflow::Settings;
+use nickelflow_dispatcher::Settings;
 use nickelflow_engine::{Answer, Execute, Nanos, Outcome};
 
 use super::frame::Facts;
--- a/crates/lab/src/policy/frame.rs
+++ b/crates/simulator/src/policy/frame.rs
@@ -5,7 +5,7 @@
 use std::collections::BinaryHeap;
 
 use fnv::FnvHashMap;
-use nickelflow::{Effect, Group, Settings};
+use nickelflow_dispatcher::{Effect, Group, Settings};
 use nickelflow_engine::{hash, Answer, Execute, Job, ListKind, Membership, Nanos, Outcome, Report};
 use smallvec::SmallVec;
 
--- a/crates/lab/src/policy/mod.rs
+++ b/crates/simulator/src/policy/mod.rs
@@ -13,7 +13,7 @@
 
 use std::str::FromStr;
 
-use nickelflow::{Class, Contract, Effect, Group, Settings, SettingsError, Tenant};
+use nickelflow_dispatcher::{Class, Contract, Effect, Group, Settings, SettingsError, Tenant};
 use nickelflow_engine::{Engine, Nanos};
 
 use crate::scenario::{Repeats, Scenario};
--- a/crates/lab/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::VecDeque;
 
 use fnv::FnvHashMap;
-use nickelflow::Settings;
+use nickelflow_dispatcher::Settings;
 use slab::Slab;
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::Xxh3;
--- a/crates/lab/tests/commands.rs
+++ b/crates/simulator/tests/commands.rs
@@ -5,7 +5,7 @@
 
 fn lab(words: &[&str]) -> Output {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
-    Command::new(env!("CARGO_BIN_EXE_nickelflow-lab"))
+    Command::new(env!("CARGO_BIN_EXE_nickelflow-simulator"))
         .current_dir(root)
         .args(words)
         .output()
@@ -18,7 +18,7 @@
 
 /// A folder of this test's own.
 fn folder(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("nickelflow-lab-{}-{name}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("nickelflow-simulator-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     folder
 }
@@ -32,8 +32,16 @@
     let folder = folder("results");
     let file = |name: &str| folder.join(name).display().to_string();
     let (json, csv, page, again) = (file("a.json"), file("a.csv"), file("a.html"), file("b.html"));
-    let words =
-        ["run", "lab/scenarios/hang.toml", "--seeds", "2", "--policy", "nickelflow", "--policy", "random"];
+    let words = [
+        "run",
+        "simulator/scenarios/hang.toml",
+        "--seeds",
+        "2",
+        "--policy",
+        "nickelflow",
+        "--policy",
+        "random",
+    ];
     let output = lab(&[&words[..], &["--json", &json, "--csv", &csv, "--html", &page]].concat());
     assert!(output.status.success(), "{}", said(&output));
     assert_eq!(text(Path::new(&csv)).lines().count(), 1 + 2 * 2);
@@ -51,7 +59,7 @@
 #[test]
 fn a_comparison_s_exit_status_tells_better_worse_and_undecided() {
     let status = |a: &str, b: &str| {
-        let words = ["compare", a, b, "--scenario", "lab/scenarios/calm.toml", "--seeds", "5"];
+        let words = ["compare", a, b, "--scenario", "simulator/scenarios/calm.toml", "--seeds", "5"];
         lab(&words).status.code()
     };
     assert_eq!(status("random", "oracle"), Some(0));
@@ -62,7 +70,7 @@
 
 #[test]
 fn a_sweep_changes_the_figure_and_refuses_one_that_is_not_there() {
-    let sweep = |set: &str| lab(&["sweep", "lab/scenarios/plain.toml", "--seeds", "1", "--set", set]);
+    let sweep = |set: &str| lab(&["sweep", "simulator/scenarios/plain.toml", "--seeds", "1", "--set", set]);
     let output = sweep("traffic.load=0.3..0.9:0.6");
     let told = said(&output);
     assert!(output.status.success(), "{told}");
@@ -82,21 +90,21 @@
 
 #[test]
 fn a_trace_tells_one_request_s_life() {
-    let told = said(&lab(&["trace", "lab/scenarios/calm.toml", "100"]));
+    let told = said(&lab(&["trace", "simulator/scenarios/calm.toml", "100"]));
     let order =
         ["asked of scheduler", "attempt 0 sent to worker", "starts on worker", "final answer written"];
     let places: Vec<Option<usize>> = order.iter().map(|what| told.find(what)).collect();
     assert!(places.iter().all(Option::is_some) && places.is_sorted(), "{told}");
-    assert!(!lab(&["trace", "lab/scenarios/calm.toml", "99999999"]).status.success());
+    assert!(!lab(&["trace", "simulator/scenarios/calm.toml", "99999999"]).status.success());
 }
 
 #[test]
 fn check_names_file_line_and_field() {
     let folder = folder("check");
-    let sound = text(&Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/scenarios/calm.toml"));
+    let sound = text(&Path::new(env!("CARGO_MANIFEST_DIR")).join("../../simulator/scenarios/calm.toml"));
     let broken = folder.join("broken.toml");
     std::fs::write(&broken, sound.replace("queue = 30.0", "queue = -3.0")).expect("a file");
-    let output = lab(&["check", "lab/scenarios/calm.toml", &broken.display().to_string()]);
+    let output = lab(&["check", "simulator/scenarios/calm.toml", &broken.display().to_string()]);
     let told = said(&output);
     let line = sound.lines().position(|line| line.starts_with("queue")).expect("the line") + 1;
     assert_eq!(output.status.code(), Some(1));
@@ -111,7 +119,7 @@
 fn a_trace_of_recorded_arrivals_is_replayed_and_a_broken_one_refused() {
     let folder = folder("replay");
     let (rows, scenario) = (folder.join("rows.csv"), folder.join("replay.toml"));
-    let sound = text(&Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/scenarios/calm.toml"));
+    let sound = text(&Path::new(env!("CARGO_MANIFEST_DIR")).join("../../simulator/scenarios/calm.toml"));
     let shape = format!("shape = {{ replay = {{ file = {:?} }} }}", rows.display().to_string());
     std::fs::write(&scenario, sound.replace("load = 0.5", &shape).replace("warmup_s = 4.0", ""))
         .expect("a file");
--- a/crates/lab/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! A hundred schedulers and 60 workers: what all of them do together stays within bounds, over ten seeds.
 
-use nickelflow_lab::policy::Kind;
-use nickelflow_lab::runs::play_all;
-use nickelflow_lab::scenario::Scenario;
+use nickelflow_simulator::policy::Kind;
+use nickelflow_simulator::runs::play_all;
+use nickelflow_simulator::scenario::Scenario;
 use rstest::rstest;
 
 /// Probes in the worst second; 60 workers that refresh their reports at most every 0.35 s have no more to tell.
@@ -14,9 +14,9 @@
 const CALLS: u64 = 500;
 
 #[rstest]
-#[case::most_schedulers_are_killed_at_once(include_str!("../../../lab/scenarios/vast-herd.toml"), true)]
-#[case::racks_are_lost_and_back_cold(include_str!("../../../lab/scenarios/vast-zone.toml"), true)]
-#[case::most_workers_are_replaced(include_str!("../../../lab/scenarios/vast-join.toml"), false)]
+#[case::most_schedulers_are_killed_at_once(include_str!("../../../simulator/scenarios/vast-herd.toml"), true)]
+#[case::racks_are_lost_and_back_cold(include_str!("../../../simulator/scenarios/vast-zone.toml"), true)]
+#[case::most_workers_are_replaced(include_str!("../../../simulator/scenarios/vast-join.toml"), false)]
 fn a_hundred_schedulers_stay_within_bounds_together(#[case] text: &str, #[case] all_told: bool) {
     let scenario = Scenario::parse(text).expect("a sound scenario");
     let seeds: Vec<u64> = (1..=10).collect();
@@ -28,7 +28,7 @@
         // that, for no scheduler can know.
         let pressed = counts.pressed;
         assert!(pressed < 1.0 || !all_told, "seed {seed}: a cold worker is pressed to {pressed:.2}");
-        let most = |of: fn(&nickelflow_lab::stats::Second) -> f64| {
+        let most = |of: fn(&nickelflow_simulator::stats::Second) -> f64| {
             run.summary.seconds.iter().map(of).fold(0.0, f64::max)
         };
         let (probes, connections) = (most(|s| s.probes), most(|s| s.connections));
--- a/crates/lab/tests/machines.rs
+++ b/crates/simulator/tests/machines.rs
@@ -1,9 +1,9 @@
 //! The worker and archive models, one behaviour at a time, against times worked out by hand.
 
-use nickelflow_lab::archive::Archive;
-use nickelflow_lab::scenario::Queueing;
-use nickelflow_lab::time::{Nanos, MS, SECOND};
-use nickelflow_lab::worker::{AttemptId, Effect, Make, Task, Up, Worker};
+use nickelflow_simulator::archive::Archive;
+use nickelflow_simulator::scenario::Queueing;
+use nickelflow_simulator::time::{Nanos, MS, SECOND};
+use nickelflow_simulator::worker::{AttemptId, Effect, Make, Task, Up, Worker};
 use rstest::rstest;
 
 fn make() -> Make {
--- a/crates/lab/tests/queue.rs
+++ b/crates/simulator/tests/queue.rs
@@ -1,6 +1,6 @@
 //! The queue of events against a plain sort.
 
-use nickelflow_lab::queue::Queue;
+use nickelflow_simulator::queue::Queue;
 use proptest::prelude::*;
 
 proptest! {
--- a/crates/lab/tests/rules.rs
+++ b/crates/simulator/tests/rules.rs
@@ -1,9 +1,9 @@
 //! The auditor shown to fail: for each finding a record that is sound, and the same with one thing changed that
 //! breaks just that rule.
 
-use nickelflow_lab::audit::{Auditor, Law, Repeat, Rule, Verdict};
-use nickelflow_lab::record::{Ending, Final, Record, Standing};
-use nickelflow_lab::time::{Nanos, MS, SECOND};
+use nickelflow_simulator::audit::{Auditor, Law, Repeat, Rule, Verdict};
+use nickelflow_simulator::record::{Ending, Final, Record, Standing};
+use nickelflow_simulator::time::{Nanos, MS, SECOND};
 use rstest::rstest;
 
 fn law() -> Law {
--- a/crates/lab/tests/text_format.rs
+++ b/crates/simulator/tests/text_format.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-use nickelflow_lab::scenario::{Direction, Queueing, Repeats, Scenario, Shape, Size, What};
+use nickelflow_simulator::scenario::{Direction, Queueing, Repeats, Scenario, Shape, Size, What};
 use rstest::rstest;
 use serde_json::Value;
 
@@ -15,7 +15,7 @@
 }
 
 #[rstest]
-fn scenarios_of_the_repository_are_read(#[files("../../lab/scenarios/*.toml")] file: PathBuf) {
+fn scenarios_of_the_repository_are_read(#[files("../../simulator/scenarios/*.toml")] file: PathBuf) {
     Scenario::load(&file).map(drop).expect("a sound scenario");
 }
 
@@ -119,7 +119,8 @@
 
 fn lab(words: &[&str]) -> Output {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
-    let output = Command::new(env!("CARGO_BIN_EXE_nickelflow-lab")).current_dir(root).args(words).output();
+    let output =
+        Command::new(env!("CARGO_BIN_EXE_nickelflow-simulator")).current_dir(root).args(words).output();
     output.expect("it starts")
 }
 
@@ -141,7 +142,8 @@
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = |name: &str| folder.join(name).display().to_string();
     let (csv, json) = (file("run.csv"), file("run.json"));
-    let output = lab(&["run", "lab/scenarios/calm.toml", "--seeds", "1", "--csv", &csv, "--json", &json]);
+    let output =
+        lab(&["run", "simulator/scenarios/calm.toml", "--seeds", "1", "--csv", &csv, "--json", &json]);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let csv = std::fs::read_to_string(csv).expect("a file");
     assert_eq!(csv.lines().next(), include_str!("data/run.columns.csv").lines().next());
@@ -155,7 +157,7 @@
 
 #[test]
 fn columns_of_the_table_equal_the_recorded_ones() {
-    let words = ["table", "lab/scenarios/calm.toml", "--seeds", "1", "--policy", "random"];
+    let words = ["table", "simulator/scenarios/calm.toml", "--seeds", "1", "--policy", "random"];
     let printed = String::from_utf8(lab(&words).stdout).expect("text");
     let head: Vec<&str> = printed.lines().take(2).collect();
     assert_eq!(head, include_str!("data/table.columns.md").lines().collect::<Vec<_>>());
--- a/crates/lab/tests/theory.rs
+++ b/crates/simulator/tests/theory.rs
@@ -1,9 +1,9 @@
 //! The models against what is known in closed form: a model that flatters is worth nothing.
 
-use nickelflow_lab::policy::Kind;
-use nickelflow_lab::runs::{play, Run};
-use nickelflow_lab::scenario::Scenario;
-use nickelflow_lab::time::MS;
+use nickelflow_simulator::policy::Kind;
+use nickelflow_simulator::runs::{play, Run};
+use nickelflow_simulator::scenario::Scenario;
+use nickelflow_simulator::time::MS;
 use rstest::rstest;
 
 /// One pool of exponential servers without any cost round them; mean work 100 ms.
--- a/crates/lab/tests/worlds.rs
+++ b/crates/simulator/tests/worlds.rs
@@ -1,9 +1,9 @@
 //! Whole worlds: the same inputs give the same run, nothing is lost in the books, and the hard cases hold.
 
-use nickelflow_lab::policy::{self, Kind};
-use nickelflow_lab::runs::{compare, play, play_all, Figure, Judgement};
-use nickelflow_lab::scenario::Scenario;
-use nickelflow_lab::world::{Watch, World};
+use nickelflow_simulator::policy::{self, Kind};
+use nickelflow_simulator::runs::{compare, play, play_all, Figure, Judgement};
+use nickelflow_simulator::scenario::Scenario;
+use nickelflow_simulator::world::{Watch, World};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -103,7 +103,7 @@
     // Baselines know nothing of cold workers, and may push one over.
     let mut counts = run.verdict.counts.clone();
     if kind != Kind::Nickelflow {
-        counts.remove(&nickelflow_lab::audit::Rule::PushedOver);
+        counts.remove(&nickelflow_simulator::audit::Rule::PushedOver);
     }
     let told: Vec<String> = run.verdict.findings.iter().take(2).map(ToString::to_string).collect();
     assert!(counts.is_empty(), "{counts:?}\n{}", told.join("\n"));
@@ -140,7 +140,7 @@
         (play(&scenario, Kind::Nickelflow, 3, true), play(&calm, Kind::Nickelflow, 3, true));
     let (killed, whole) = (killed.expect("it plays"), whole.expect("it plays"));
     assert_eq!(killed.verdict.broken(), 0, "{:?}", killed.verdict.findings.first());
-    let served = |s: &nickelflow_lab::stats::Summary| (s.in_time + s.late) as f64 / s.requests as f64;
+    let served = |s: &nickelflow_simulator::stats::Summary| (s.in_time + s.late) as f64 / s.requests as f64;
     assert!(served(&killed.summary) > served(&whole.summary) - 0.05);
     // A request whose worker had said its last line when its scheduler died with the answer on the way: asked
     // again of another scheduler, and served once.
@@ -217,7 +217,7 @@
 
 #[test]
 fn the_scenarios_of_the_repository_are_sound_and_play() {
-    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../lab/scenarios");
+    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../simulator/scenarios");
     let files: Vec<_> =
         std::fs::read_dir(folder).expect("scenarios").map(|e| e.expect("a file").path()).collect();
     assert!(files.len() >= 11);
@@ -256,7 +256,7 @@
         );
         let mut scenario = small(ALL_FAULTS, &more);
         scenario.duration_s.0 = 4.0;
-        scenario.traffic.load = Some(nickelflow_lab::scenario::Bounded(load));
+        scenario.traffic.load = Some(nickelflow_simulator::scenario::Bounded(load));
         let run = play(&scenario, kind, seed, true).expect("it plays");
         let s = &run.summary;
         prop_assert_eq!(s.requests, s.in_time + s.late + s.refused + s.failed + s.left);
@@ -275,7 +275,7 @@
                 workers = { queue = 16.0, connections = 25.0, thrash = 0.2, order = \"backfill\" }\n";
     let mut scenario = small(ALL_FAULTS, more);
     scenario.duration_s.0 = 4.0;
-    scenario.traffic.load = Some(nickelflow_lab::scenario::Bounded(1.5539960949665914));
+    scenario.traffic.load = Some(nickelflow_simulator::scenario::Bounded(1.5539960949665914));
     let run = play(&scenario, Kind::Nickelflow, 12064422243030519984, true).expect("it plays");
     let s = &run.summary;
     assert_eq!(s.requests, s.in_time + s.late + s.refused + s.failed + s.left);
