--- a/crates/daemon/src/agreed.rs
+++ b/crates/daemon/src/agreed.rs
@@ -6,7 +6,7 @@
 
 use hyper::header::HeaderValue;
 use nickelflow_control_plane::{Council, Told};
-use nickelflow_engine::{hash, CarefulRules, RuledUse, Rules};
+use nickelflow_engine::{hash, DegradedRules, Rules, WorkerRestriction};
 use nickelflow_rollout::{Step, Use, Version};
 use tokio::sync::{mpsc, watch};
 use tracing::warn;
@@ -80,17 +80,17 @@
     }
     let workers = step.uses.iter().map(|(worker, put)| {
         let put = match put {
-            Use::None(nickelflow_rollout::Standing::Drained) => RuledUse::Drained,
-            Use::None(nickelflow_rollout::Standing::Never) => RuledUse::Never,
-            Use::None(_) => RuledUse::Cordoned,
+            Use::None(nickelflow_rollout::Standing::Drained) => WorkerRestriction::Drained,
+            Use::None(nickelflow_rollout::Standing::Never) => WorkerRestriction::Excluded,
+            Use::None(_) => WorkerRestriction::Cordoned,
             Use::Own(tenant) | Use::Reserved(tenant) => match number(tenant) {
                 Some(number) => {
                     if matches!(put, Use::Own(_)) {
                         owners.insert(number);
                     }
-                    RuledUse::Only(number)
+                    WorkerRestriction::ReservedFor(number)
                 }
-                None => RuledUse::Cordoned,
+                None => WorkerRestriction::Cordoned,
             },
         };
         (hash(worker.as_bytes()), put)
@@ -98,17 +98,17 @@
     let workers = workers.collect();
     let (least, most) = step.retry_after_ms;
     Rules {
-        parts: step.parts,
-        attempts: step.attempts,
+        quota_shares: step.parts,
+        max_attempts: step.attempts,
         retry_after: (u64::from(least) * MS, u64::from(most) * MS),
-        limits,
-        workers,
-        owners,
-        careful: CarefulRules {
-            share: step.careful.share,
-            workers: step.careful.workers.iter().map(|worker| hash(worker.as_bytes())).collect(),
-            others: step.careful.others,
-            unlimited: step.careful.unlimited,
+        tenant_rates_per_s: limits,
+        worker_restrictions: workers,
+        tenants_with_reserved_workers: owners,
+        degraded: DegradedRules {
+            quota_share: step.careful.share,
+            allowed_workers: step.careful.workers.iter().map(|worker| hash(worker.as_bytes())).collect(),
+            allows_unlisted_workers: step.careful.others,
+            allows_unlimited_tenants: step.careful.unlimited,
         },
     }
 }
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use nickelflow_dispatcher::{Class, Contract, Effect, Group, Settings, Tenant};
+use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, ServiceLimits, Settings, Tenant};
 
 use crate::json::{self, Field};
 use crate::list::{EntryNames, List};
@@ -179,25 +179,32 @@
     };
     let class = |(number, class): (usize, &Field)| -> Result<Class, String> {
         let group = match class.opt("group")? {
-            Some(group) => {
-                group.word(&[("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)])?
-            }
-            None => Group::Cell,
+            Some(group) => group.word(&[
+                ("all", DeduplicationScope::All),
+                ("zone", DeduplicationScope::Zone),
+                ("cell", DeduplicationScope::Cell),
+            ])?,
+            None => DeduplicationScope::Cell,
         };
-        let effects =
-            [("pure", Effect::Safe), ("token", Effect::Keyed(group)), ("side_effect", Effect::Unsafe)];
+        let effects = [
+            ("pure", Idempotency::Idempotent),
+            ("token", Idempotency::IdempotentWithKey(group)),
+            ("side_effect", Idempotency::NonIdempotent),
+        ];
         let stretch = of_class("class_stretch", number)?.unwrap_or(0.0);
         class.get("deadline_ns")?;
         class.get("on_time_ns")?;
         Ok(Class {
-            effect: class.get("effect")?.word(&effects)?,
-            window: time(class, "window_ns", 0)?,
-            aim: time(class, "on_time_ns", 0)?,
-            stretch: self::number(class, "aim_stretch", stretch)?,
+            idempotency: class.get("effect")?.word(&effects)?,
+            deduplication_window: time(class, "window_ns", 0)?,
+            latency_objective: time(class, "on_time_ns", 0)?,
+            latency_stretch: self::number(class, "aim_stretch", stretch)?,
             deadline: time(class, "deadline_ns", 0)?,
-            worth: self::number(class, "importance", 1.0)?,
-            late_worth: self::number(class, "late_value", 0.0)?,
-            kind: of_class("class_kind", number)?.filter(|kind| *kind >= 0.0).map(|kind| kind as u32),
+            priority_weight: self::number(class, "importance", 1.0)?,
+            late_weight_share: self::number(class, "late_value", 0.0)?,
+            required_kind: of_class("class_kind", number)?
+                .filter(|kind| *kind >= 0.0)
+                .map(|kind| kind as u32),
         })
     };
     let tenants = settings.opt("customers")?.map_or(Ok(vec![]), |customers| customers.items())?;
@@ -222,24 +229,24 @@
         zone: settings.opt("az")?.map_or(Ok(0), |zone| zone.whole())?,
         classes: settings.get("classes")?.items()?.iter().enumerate().map(class).collect::<Result<_, _>>()?,
         tenants: tenants.iter().map(tenant).collect::<Result<_, String>>()?,
-        contract: Contract {
-            cold_from: number(&contract, "cold_from", 1.0)?,
-            cold: time(&contract, "cold_ns", 0)?,
-            fall_multiple: number(&contract, "fall_multiple", 1.0)?,
-            fall: time(&contract, "fall_ns", 1_000_000_000)?,
-            must_ask: time(&contract, "must_ask_in_ns", 10_000_000_000)?,
+        limits: ServiceLimits {
+            slow_start_initial_share: number(&contract, "cold_from", 1.0)?,
+            slow_start_duration: time(&contract, "cold_ns", 0)?,
+            overload_multiple: number(&contract, "fall_multiple", 1.0)?,
+            overload_duration: time(&contract, "fall_ns", 1_000_000_000)?,
+            unsubscribed_list_validity: time(&contract, "must_ask_in_ns", 10_000_000_000)?,
         },
-        must_subscribe: mode.map_or(Ok(""), |mode| mode.text())? == "on_request",
+        requires_subscription: mode.map_or(Ok(""), |mode| mode.text())? == "on_request",
         can_probe: flag(&caps, "probing")?,
-        tells_size,
-        reports_slots,
-        tells_start,
-        progress,
+        reports_registered_size: tells_size,
+        reports_free_slots: reports_slots,
+        notifies_job_start: tells_start,
+        progress_interval: progress,
         can_cancel: flag(&caps, "cancel")?,
-        parallel_tries: flag(&caps, "parallel_tries")?,
+        allows_hedging: flag(&caps, "parallel_tries")?,
         max_attempts: caps.opt("most_tries")?.map_or(Ok(1), |tries| tries.whole())?,
         max_retry_after: time(&caps, "max_retry_after_ns", 0)?,
-        connect: time(&caps, "connect_timeout_ns", 1_000_000_000)?,
-        resolution: time(settings, "resolution_ns", 1_000_000)?,
+        connect_timeout: time(&caps, "connect_timeout_ns", 1_000_000_000)?,
+        clock_resolution: time(settings, "resolution_ns", 1_000_000)?,
     })
 }
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -14,11 +14,11 @@
 
 use bytes::Bytes;
 use hyper::header::HeaderValue;
-use nickelflow_dispatcher::Effect;
+use nickelflow_dispatcher::Idempotency;
 pub use nickelflow_engine::permits::Stop;
 use nickelflow_engine::permits::Violation;
 use nickelflow_engine::{Engine, Input as Happened, Instance, Job as Facts, Nanos, Order as Ordered};
-use nickelflow_engine::{ListKind, Outcome, Report, Rules, Settings, SettingsError};
+use nickelflow_engine::{ListKind, LoadReport, Outcome, Rules, Settings, SettingsError};
 use tokio::sync::{mpsc, oneshot, watch};
 use tracing::{debug, warn};
 
@@ -88,7 +88,7 @@
     Probed {
         instance: u32,
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// Starts stand in Unix time here (ns).
     Listed {
@@ -138,12 +138,12 @@
     Never,
 }
 
-impl From<Effect> for Repeats {
-    fn from(effect: Effect) -> Self {
+impl From<Idempotency> for Repeats {
+    fn from(effect: Idempotency) -> Self {
         match effect {
-            Effect::Safe => Repeats::Harmless,
-            Effect::Keyed(_) => Repeats::Dropped,
-            Effect::Unsafe => Repeats::Never,
+            Idempotency::Idempotent => Repeats::Harmless,
+            Idempotency::IdempotentWithKey(_) => Repeats::Dropped,
+            Idempotency::NonIdempotent => Repeats::Never,
         }
     }
 }
@@ -240,7 +240,7 @@
 
 impl<P, F: FnMut(Order<P>)> Core<P, F> {
     pub fn new(settings: Settings, seed: u64, counters: Shared, carry_out: F) -> Result<Self, SettingsError> {
-        let repeats = settings.classes.iter().map(|class| class.effect.into()).collect();
+        let repeats = settings.classes.iter().map(|class| class.idempotency.into()).collect();
         Ok(Core {
             repeats,
             engine: Engine::new(settings, seed)?,
--- a/crates/daemon/src/counters.rs
+++ b/crates/daemon/src/counters.rs
@@ -72,8 +72,8 @@
         match outcome {
             Outcome::Ok => &self.sent_ok,
             Outcome::Error => &self.sent_error,
-            Outcome::Full => &self.sent_full,
-            Outcome::Unusable => &self.sent_unusable,
+            Outcome::Rejected => &self.sent_full,
+            Outcome::InvalidJob => &self.sent_unusable,
             Outcome::Timeout => &self.sent_timeout,
             Outcome::ConnectFailed => &self.sent_connect_failed,
             Outcome::Reset => &self.sent_reset,
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -294,7 +294,7 @@
 
     async fn keep(mut self, known: List, mut current: Current) {
         let mut index = known.index;
-        self.tell(ListKind::Saved, known.entries);
+        self.tell(ListKind::Cached, known.entries);
         let mut moved_at = None;
         if !self.timing.pushed {
             tokio::select! {
@@ -448,7 +448,7 @@
             *index = list.index;
             // Only a whole snapshot is complete: what else a list leaves out has not gone.
             let whole = list.snapshot && list.skipped.is_empty();
-            let kind = if whole { ListKind::Full } else { ListKind::Changes };
+            let kind = if whole { ListKind::Complete } else { ListKind::Changes };
             self.tell(kind, list.entries);
             current.told();
         }
--- a/crates/daemon/src/execution.rs
+++ b/crates/daemon/src/execution.rs
@@ -10,7 +10,7 @@
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Request, StatusCode, Uri};
 use nickelflow_engine::permits::{Act, Denial};
-use nickelflow_engine::{Outcome, Report};
+use nickelflow_engine::{LoadReport, Outcome};
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
 use tracing::{debug, warn};
@@ -301,7 +301,7 @@
         let _ = self.queue.send(Input::Probed { instance, outcome, report });
     }
 
-    async fn ask_load(&self, address: SocketAddr) -> (Outcome, Option<Report>) {
+    async fn ask_load(&self, address: SocketAddr) -> (Outcome, Option<LoadReport>) {
         let mut wanted = Wanted::Any;
         let (mut lease, answer) = loop {
             let mut lease = match self.pool.lease(address, wanted, PROBE_PATIENCE).await {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -91,7 +91,7 @@
         Order::Watch => drop(ask.send(())),
     };
     let timing = WatchTiming {
-        pushed: !config.settings.must_subscribe,
+        pushed: !config.settings.requires_subscription,
         schedulers: config.settings.dispatchers,
         grace: config.links.grace,
     };
--- a/crates/daemon/src/list.rs
+++ b/crates/daemon/src/list.rs
@@ -2,7 +2,7 @@
 
 use std::net::{Ipv4Addr, SocketAddr};
 
-use nickelflow_engine::Membership;
+use nickelflow_engine::WorkerStatus;
 
 use crate::core::Entry;
 use crate::json::Field;
@@ -44,7 +44,7 @@
 
 fn entry(field: &Field, names: &EntryNames) -> Result<Entry, String> {
     let statuses =
-        [("active", Membership::Ready), ("leaving", Membership::Draining), ("left", Membership::Gone)];
+        [("active", WorkerStatus::Ready), ("leaving", WorkerStatus::Draining), ("left", WorkerStatus::Gone)];
     let membership = field.get("status")?.word(&statuses)?;
     let number = |name: &str, known: &[String]| -> Result<u32, String> {
         let Some(field) = field.opt(name)? else { return Ok(0) };
@@ -57,10 +57,10 @@
     let address = match (field.opt("address")?, membership) {
         (Some(address), membership) => match (address.text()?.parse(), membership) {
             (Ok(address), _) => address,
-            (Err(_), Membership::Ready) => return Err(address.error("must be an address with a port")),
+            (Err(_), WorkerStatus::Ready) => return Err(address.error("must be an address with a port")),
             (Err(_), _) => nowhere,
         },
-        (None, Membership::Ready) => return Err(field.error("has no address")),
+        (None, WorkerStatus::Ready) => return Err(field.error("has no address")),
         (None, _) => nowhere,
     };
     let since: u64 = field.opt("since_ms")?.map_or(Ok(0), |since| since.whole())?;
--- a/crates/daemon/src/worker_answer.rs
+++ b/crates/daemon/src/worker_answer.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::Response;
-use nickelflow_engine::{Outcome, Report};
+use nickelflow_engine::{LoadReport, Outcome};
 use tinyjson::JsonValue;
 use tracing::warn;
 
@@ -17,8 +17,8 @@
     let unstarted = answer.headers().get("not-started").is_some_and(|v| v.as_bytes() == b"1");
     match answer.status().as_u16() {
         200 => None,
-        503 | 504 if unstarted => Some(Outcome::Full),
-        400 => Some(Outcome::Unusable),
+        503 | 504 if unstarted => Some(Outcome::Rejected),
+        400 => Some(Outcome::InvalidJob),
         500 | 503 | 504 => Some(Outcome::Error),
         status => {
             warn!(status, "unexpected status from an instance");
@@ -28,13 +28,13 @@
 }
 
 /// The load report that the head of the answer carries.
-pub fn head_report(answer: &Response<Incoming>) -> Option<Report> {
+pub fn head_report(answer: &Response<Incoming>) -> Option<LoadReport> {
     report_of(answer.headers().get("server-load")?.as_bytes())
 }
 
 /// A load report, as an object or as `name=value,name=value`.
-pub fn report_of(bytes: &[u8]) -> Option<Report> {
-    let mut report = Report::default();
+pub fn report_of(bytes: &[u8]) -> Option<LoadReport> {
+    let mut report = LoadReport::default();
     if bytes.first() == Some(&b'{') {
         fill(&mut report, &json::decode(bytes).ok()?);
         return Some(report);
@@ -47,14 +47,14 @@
     any.then_some(report)
 }
 
-fn fill(report: &mut Report, object: &JsonValue) {
+fn fill(report: &mut LoadReport, object: &JsonValue) {
     for (name, value) in object.get::<HashMap<String, JsonValue>>().into_iter().flatten() {
         set(report, name, value.get::<f64>().copied());
     }
 }
 
 /// The settings name the fields in the simulator's words; the sockets carry the site's.
-fn set(report: &mut Report, name: &str, value: Option<f64>) {
+fn set(report: &mut LoadReport, name: &str, value: Option<f64>) {
     match name {
         "x0" => report.free_slots = value,
         "x1" => report.free_memory = value,
@@ -88,12 +88,12 @@
                 End { outcome: Outcome::Ok, result, report: None }
             }
             Some("failed") => Outcome::Error.into(),
-            Some("returned") => Outcome::Full.into(),
+            Some("returned") => Outcome::Rejected.into(),
             Some("lost") => Outcome::Reset.into(),
             _ => return Err("no known state".to_owned()),
         };
         if let Some(load) = object.get("load") {
-            fill(end.report.insert(Report::default()), load);
+            fill(end.report.insert(LoadReport::default()), load);
         }
         Ok(State::Ended(end))
     }
--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -165,10 +165,10 @@
 }
 
 #[rstest]
-#[case(Repeats::Harmless, Duration::ZERO, Outcome::Full)]
+#[case(Repeats::Harmless, Duration::ZERO, Outcome::Rejected)]
 #[case(Repeats::Dropped, Duration::ZERO, Outcome::Reset)]
-#[case(Repeats::Dropped, SETTLED * 3 / 2, Outcome::Full)]
-#[case(Repeats::Never, SETTLED * 3 / 2, Outcome::Full)]
+#[case(Repeats::Dropped, SETTLED * 3 / 2, Outcome::Rejected)]
+#[case(Repeats::Never, SETTLED * 3 / 2, Outcome::Rejected)]
 #[tokio::test]
 async fn a_head_that_may_be_of_the_job_before_does_not_prove_that_this_one_never_ran(
     #[case] repeats: Repeats,
@@ -199,7 +199,7 @@
     let mut stream = accept(&listener).await;
     assert!(request(&mut stream).await);
     stream.write_all(TURNED_AWAY.as_bytes()).await.expect("to write");
-    assert_eq!(pool.end().await, Outcome::Full);
+    assert_eq!(pool.end().await, Outcome::Rejected);
 }
 
 #[tokio::test]
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -399,7 +399,7 @@
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let mut told = client(listener.local_addr().expect("its address"), false);
     let mut streams = vec![];
-    assert_eq!(next(&mut told).await, ListKind::Saved);
+    assert_eq!(next(&mut told).await, ListKind::Cached);
     tokio::select! {
         kind = next(&mut told) => assert_eq!(kind, ListKind::Stale),
         () = keep(&listener, &mut streams) => {}
@@ -423,7 +423,7 @@
 async fn what_discovery_cannot_be_asked_for_makes_no_list_stale_and_what_it_could_does() {
     let (socket, address) = closed();
     let mut told = client(address, false);
-    assert_eq!(next(&mut told).await, ListKind::Saved);
+    assert_eq!(next(&mut told).await, ListKind::Cached);
     let stale = tokio::time::timeout(TOLD + Duration::from_secs(1), next(&mut told)).await;
     assert!(stale.is_err(), "stale while discovery could not be reached");
     // Once reached, it may have had a change, which no later outage takes back.
@@ -438,7 +438,7 @@
 async fn what_an_agent_has_not_is_not_told_and_makes_no_list_stale() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let mut told = client(listener.local_addr().expect("its address"), true);
-    assert_eq!(next(&mut told).await, ListKind::Saved);
+    assert_eq!(next(&mut told).await, ListKind::Cached);
     let mut streams = vec![];
     let stale = tokio::time::timeout(TOLD + Duration::from_secs(1), async {
         tokio::select! {
@@ -455,14 +455,14 @@
     let other = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
     let mut stays = client(address, false);
-    assert_eq!(next(&mut stays).await, ListKind::Saved);
+    assert_eq!(next(&mut stays).await, ListKind::Cached);
     // The one that moves begins later, when the other has asked once more: unmoved, its list would be stale later.
     let mut streams = vec![];
     for _ in 0..2 {
         streams.push(listener.accept().await.expect("a call").0);
     }
     let (mut moves, discovery) = client_that_moves(address, false);
-    assert_eq!(next(&mut moves).await, ListKind::Saved);
+    assert_eq!(next(&mut moves).await, ListKind::Cached);
     discovery.send(other.local_addr().expect("its address")).expect("a client");
     let mut others = vec![];
     tokio::select! {
--- a/crates/daemon/tests/text_format.rs
+++ b/crates/daemon/tests/text_format.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use nickelflow_daemon::config::Config;
-use nickelflow_dispatcher::{Effect, Group};
-use nickelflow_engine::Membership;
+use nickelflow_dispatcher::{DeduplicationScope, Idempotency};
+use nickelflow_engine::WorkerStatus;
 
 const EVERY_KEY: &[u8] = include_bytes!("data/every_key.json");
 const MS: u64 = 1_000_000;
@@ -41,9 +41,9 @@
     let known = decode(EVERY_KEY).known;
     assert_eq!((known.index, known.snapshot), (41, true));
     assert!(known.skipped.is_empty());
-    let memberships: Vec<(&str, Membership)> =
+    let memberships: Vec<(&str, WorkerStatus)> =
         known.entries.iter().map(|entry| (entry.name.as_str(), entry.membership)).collect();
-    let expected = [("w1", Membership::Ready), ("w2", Membership::Draining), ("w3", Membership::Gone)];
+    let expected = [("w1", WorkerStatus::Ready), ("w2", WorkerStatus::Draining), ("w3", WorkerStatus::Gone)];
     assert_eq!(memberships, expected);
     let full = &known.entries[0];
     assert_eq!(full.address.to_string(), "127.0.0.3:9000");
@@ -57,35 +57,38 @@
     assert_eq!((settings.dispatchers, settings.zone), (3, 1));
     let quotas: Vec<f64> = settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect();
     assert_eq!(quotas, [30.0, 20.5]);
-    let contract = &settings.contract;
-    assert_eq!((contract.cold_from, contract.cold), (0.14, 24_000 * MS));
-    assert_eq!((contract.fall_multiple, contract.fall), (3.0, 1_500 * MS));
-    assert_eq!(contract.must_ask, 11_000 * MS);
-    assert!(settings.must_subscribe && settings.can_probe && settings.tells_size);
-    assert!(settings.reports_slots && settings.tells_start);
-    assert!(settings.can_cancel && settings.parallel_tries);
-    assert_eq!((settings.progress, settings.max_attempts), (2_100 * MS, 4));
-    assert_eq!((settings.max_retry_after, settings.connect), (2_000 * MS, 200 * MS));
-    assert_eq!(settings.resolution, 2 * MS);
+    let contract = &settings.limits;
+    assert_eq!((contract.slow_start_initial_share, contract.slow_start_duration), (0.14, 24_000 * MS));
+    assert_eq!((contract.overload_multiple, contract.overload_duration), (3.0, 1_500 * MS));
+    assert_eq!(contract.unsubscribed_list_validity, 11_000 * MS);
+    assert!(settings.requires_subscription && settings.can_probe && settings.reports_registered_size);
+    assert!(settings.reports_free_slots && settings.notifies_job_start);
+    assert!(settings.can_cancel && settings.allows_hedging);
+    assert_eq!((settings.progress_interval, settings.max_attempts), (2_100 * MS, 4));
+    assert_eq!((settings.max_retry_after, settings.connect_timeout), (2_000 * MS, 200 * MS));
+    assert_eq!(settings.clock_resolution, 2 * MS);
 }
 
 #[test]
 fn every_key_of_a_class_is_read() {
     let classes = decode(EVERY_KEY).settings.classes;
     let class = &classes[0];
-    assert_eq!((class.window, class.aim, class.deadline), (7_500 * MS, 200 * MS, 5_000 * MS));
-    assert_eq!((class.stretch, class.worth, class.late_worth), (1.5, 3.0, 0.25));
-    let kinds: Vec<Option<u32>> = classes.iter().map(|class| class.kind).collect();
+    assert_eq!(
+        (class.deduplication_window, class.latency_objective, class.deadline),
+        (7_500 * MS, 200 * MS, 5_000 * MS)
+    );
+    assert_eq!((class.latency_stretch, class.priority_weight, class.late_weight_share), (1.5, 3.0, 0.25));
+    let kinds: Vec<Option<u32>> = classes.iter().map(|class| class.required_kind).collect();
     assert_eq!(kinds, [Some(1), None, None, None, None]);
     // Without a stretch of its own a class has that of the specifics.
-    assert_eq!((classes[1].stretch, classes[2].stretch), (3.5, 0.0));
-    let effects: Vec<Effect> = classes.iter().map(|class| class.effect).collect();
+    assert_eq!((classes[1].latency_stretch, classes[2].latency_stretch), (3.5, 0.0));
+    let effects: Vec<Idempotency> = classes.iter().map(|class| class.idempotency).collect();
     let expected = [
-        Effect::Keyed(Group::Zone),
-        Effect::Safe,
-        Effect::Unsafe,
-        Effect::Keyed(Group::Cell),
-        Effect::Keyed(Group::All),
+        Idempotency::IdempotentWithKey(DeduplicationScope::Zone),
+        Idempotency::Idempotent,
+        Idempotency::NonIdempotent,
+        Idempotency::IdempotentWithKey(DeduplicationScope::Cell),
+        Idempotency::IdempotentWithKey(DeduplicationScope::All),
     ];
     assert_eq!(effects, expected);
 }
@@ -94,8 +97,11 @@
 fn the_example_is_read() {
     let config = decode(repository_file("examples/config.json").as_bytes());
     assert_eq!((config.name.as_str(), config.sockets), ("n0", 1024));
-    assert_eq!(config.settings.classes[0].effect, Effect::Keyed(Group::Cell));
-    assert_eq!(config.settings.classes[0].stretch, 2.5);
+    assert_eq!(
+        config.settings.classes[0].idempotency,
+        Idempotency::IdempotentWithKey(DeduplicationScope::Cell)
+    );
+    assert_eq!(config.settings.classes[0].latency_stretch, 2.5);
     assert_eq!(config.settings.tenants[0].quota_per_s, 30.0);
 }
 
--- a/crates/dispatcher/src/cold_start.rs
+++ b/crates/dispatcher/src/cold_start.rs
@@ -5,7 +5,7 @@
 //! [`send_rate`] is that limit, from what a warm worker is measured to do ([`crate::service_rate`]), and
 //! [`TokenBucket`] how a dispatcher with much traffic keeps to it.
 
-use crate::interface::{Contract, Nanos, Settings};
+use crate::interface::{Nanos, ServiceLimits, Settings};
 use crate::service_rate::ServiceRates;
 use crate::state::Worker;
 
@@ -20,13 +20,14 @@
 /// the bound's own mean leaves cold workers with long jobs next to nothing.
 const FEW_DISPATCHERS: f64 = 20.0;
 
-impl Contract {
+impl ServiceLimits {
     /// The part of its capacity that a worker that started then has at least, or had so long ago; `None` if it is
     /// warm now.
     pub fn warm_part(&self, started: Option<Nanos>, now: Nanos, ago: Nanos) -> Option<f64> {
         let age = now.saturating_sub(started?);
-        let then = age.saturating_sub(ago) as f64 / self.cold as f64;
-        (age < self.cold).then_some(self.cold_from + (1.0 - self.cold_from) * then)
+        let then = age.saturating_sub(ago) as f64 / self.slow_start_duration as f64;
+        (age < self.slow_start_duration)
+            .then_some(self.slow_start_initial_share + (1.0 - self.slow_start_initial_share) * then)
     }
 }
 
@@ -46,9 +47,9 @@
 /// most one job beyond its rate and its burst. Else, or where there are too many for this, their sum is taken for
 /// independent arrivals (the tail of a Poisson distribution). A few with buckets are measured.
 pub fn send_rate(settings: &Settings, jobs_per_s: f64, pacing: Pacing) -> f64 {
-    let contract = &settings.contract;
-    let (fall, dispatchers) = (contract.fall as f64 / SECOND, f64::from(settings.dispatchers));
-    let allowed = contract.fall_multiple * jobs_per_s * fall;
+    let contract = &settings.limits;
+    let (fall, dispatchers) = (contract.overload_duration as f64 / SECOND, f64::from(settings.dispatchers));
+    let allowed = contract.overload_multiple * jobs_per_s * fall;
     let most = (allowed + 2.0 * allowed.sqrt() + 2.0).floor();
     // Towards the mean that the bound allows, from below: by Stirling's formula, the chance of this many arrivals.
     let over = most + 1.0;
@@ -83,7 +84,7 @@
         pacing: Pacing,
         now: Nanos,
     ) -> Option<ColdLimit> {
-        let (contract, kind) = (&settings.contract, worker.entry.kind);
+        let (contract, kind) = (&settings.limits, worker.entry.kind);
         let warm_jobs_per_s = rates.jobs_per_s(kind, class, now);
         let limit = |ago| {
             let warm = contract.warm_part(worker.entry.started, now, ago)?;
@@ -91,7 +92,13 @@
         };
         let job_work = rates.job_time(kind, class, now);
         let refill = job_work * limit(now.saturating_sub(worker.bucket.at) / 2)?;
-        Some(ColdLimit { pacing, jobs_per_s: limit(0)?, job_work, refill, window: contract.fall })
+        Some(ColdLimit {
+            pacing,
+            jobs_per_s: limit(0)?,
+            job_work,
+            refill,
+            window: contract.overload_duration,
+        })
     }
 }
 
--- a/crates/dispatcher/src/interface.rs
+++ b/crates/dispatcher/src/interface.rs
@@ -18,18 +18,18 @@
 
 /// What a second run of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// It may be repeated and refused at will.
-    Safe,
+    Idempotent,
     /// Repeats are dropped by the workers of one group, for the class's window.
-    Keyed(Group),
+    IdempotentWithKey(DeduplicationScope),
     /// It must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Which workers drop each other's repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
@@ -38,38 +38,42 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// How long keyed repeats are dropped, from the sending of the first attempt that may have run.
-    pub window: Nanos,
+    pub deduplication_window: Nanos,
     /// Answered within this time plus `stretch` times its own work, a request earns its full worth.
-    pub aim: Nanos,
-    pub stretch: f64,
+    pub latency_objective: Nanos,
+    pub latency_stretch: f64,
     /// A client's total wait, over all its tries.
     pub deadline: Nanos,
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_weight_share: f64,
     /// The one kind of worker that runs this class, if it needs one.
-    pub kind: Option<u32>,
+    pub required_kind: Option<u32>,
 }
 
 impl Class {
     /// Whether a worker drops repeats of what another was sent and may have run, within the window.
-    pub fn drops_repeat(&self, first: &WorkerEntry, worker: &WorkerEntry) -> bool {
-        match self.effect {
-            Effect::Safe | Effect::Unsafe | Effect::Keyed(Group::All) => true,
-            Effect::Keyed(Group::Zone) => first.zone == worker.zone,
-            Effect::Keyed(Group::Cell) => first.cell == worker.cell,
+    pub fn deduplicates(&self, first: &WorkerEntry, worker: &WorkerEntry) -> bool {
+        match self.idempotency {
+            Idempotency::Idempotent
+            | Idempotency::NonIdempotent
+            | Idempotency::IdempotentWithKey(DeduplicationScope::All) => true,
+            Idempotency::IdempotentWithKey(DeduplicationScope::Zone) => first.zone == worker.zone,
+            Idempotency::IdempotentWithKey(DeduplicationScope::Cell) => first.cell == worker.cell,
         }
     }
 
     /// Until when further attempts of a request may be written, the first of which that may have run was sent at `first`.
     /// Repeats are dropped by when their last bytes arrive: what is left of the window then is for their way, for which
     /// the settings name no time but that in which a connection (the same way, there and back) comes up.
-    pub fn send_by(&self, first: Nanos, connect: Nanos) -> Nanos {
-        match self.effect {
-            Effect::Safe | Effect::Unsafe => Nanos::MAX,
-            Effect::Keyed(_) => first.saturating_add(self.window - connect.min(self.window / 4)),
+    pub fn resend_deadline(&self, first: Nanos, connect: Nanos) -> Nanos {
+        match self.idempotency {
+            Idempotency::Idempotent | Idempotency::NonIdempotent => Nanos::MAX,
+            Idempotency::IdempotentWithKey(_) => {
+                first.saturating_add(self.deduplication_window - connect.min(self.deduplication_window / 4))
+            }
         }
     }
 }
@@ -82,17 +86,17 @@
 
 /// The figures behind the rules.
 #[derive(Clone, Debug)]
-pub struct Contract {
+pub struct ServiceLimits {
     /// A restarted worker has at least this share of its capacity ...
-    pub cold_from: f64,
+    pub slow_start_initial_share: f64,
     /// ... and all of it after this long.
-    pub cold: Nanos,
+    pub slow_start_duration: Nanos,
     /// Sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long, a cold worker falls over.
-    pub fall: Nanos,
+    pub overload_duration: Nanos,
     /// Without a subscription, for how long an unasked-for list is good.
-    pub must_ask: Nanos,
+    pub unsubscribed_list_validity: Nanos,
 }
 
 /// All that a dispatcher is told at its start.
@@ -103,33 +107,33 @@
     pub zone: u32,
     pub classes: Vec<Class>,
     pub tenants: Vec<Tenant>,
-    pub contract: Contract,
+    pub limits: ServiceLimits,
     /// Membership changes come only to those who subscribe.
-    pub must_subscribe: bool,
+    pub requires_subscription: bool,
     pub can_probe: bool,
     /// The list tells the workers' registered sizes, which stay as they are.
-    pub tells_size: bool,
+    pub reports_registered_size: bool,
     /// Probe reports carry free slots.
-    pub reports_slots: bool,
+    pub reports_free_slots: bool,
     /// Workers tell when a job starts.
-    pub tells_start: bool,
+    pub notifies_job_start: bool,
     /// Gap between progress notes of a running job; 0 where there are none.
-    pub progress: Nanos,
+    pub progress_interval: Nanos,
     pub can_cancel: bool,
     /// Two attempts of one request may be out together.
-    pub parallel_tries: bool,
+    pub allows_hedging: bool,
     pub max_attempts: u32,
     /// Longest retry-after that a client follows.
     pub max_retry_after: Nanos,
     /// A connection to a worker that is not up after so long has failed.
-    pub connect: Nanos,
+    pub connect_timeout: Nanos,
     /// Shortest gap between two events of different times.
-    pub resolution: Nanos,
+    pub clock_resolution: Nanos,
 }
 
 /// A worker's load as it reports it; what is missing is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     pub free_slots: Option<f64>,
     pub free_memory: Option<f64>,
     pub queued: Option<f64>,
@@ -138,7 +142,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Membership {
+pub enum WorkerStatus {
     Ready,
     Draining,
     Gone,
@@ -153,7 +157,7 @@
     pub zone: u32,
     pub kind: u32,
     pub cell: u32,
-    pub membership: Membership,
+    pub status: WorkerStatus,
     /// Its registered size, against those of other workers; 1 where nothing is told.
     pub weight: f64,
     /// When its process last started; `None` is long ago.
@@ -165,9 +169,9 @@
     /// Only the changed entries.
     Changes,
     /// The complete list; workers that are not on it have gone.
-    Full,
+    Complete,
     /// The complete list as this dispatcher last saw it, perhaps long ago.
-    Saved,
+    Cached,
     /// A call for the list failed or the subscription dropped; the old list still applies.
     Failed,
     /// The list may lack changes that count as told by now: until the next `Changes` or `Full` (an empty one will
@@ -181,9 +185,9 @@
     Ok,
     Error,
     /// Sent away unseen: its queue is full, or it drains.
-    Full,
+    Rejected,
     /// Sent away as nothing that any worker could run: at fault is the request, and not the worker.
-    Unusable,
+    InvalidJob,
     Timeout,
     ConnectFailed,
     Reset,
@@ -195,7 +199,7 @@
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::Unusable | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(self, Outcome::Rejected | Outcome::InvalidJob | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
@@ -212,12 +216,12 @@
     /// Time until its client gives up.
     pub time_left: Nanos,
     /// The client says that it is repeating itself.
-    pub retry: bool,
+    pub is_retry: bool,
 }
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    Workers {
+    WorkerList {
         kind: ListKind,
         entries: Vec<WorkerEntry>,
     },
@@ -233,30 +237,30 @@
         attempt: u32,
     },
     /// Exactly one for each `Send`; `finished` says that the request is over.
-    Outcome {
+    AttemptEnded {
         request: RequestId,
         attempt: u32,
         outcome: Outcome,
         finished: bool,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
-    Probed {
+    ProbeCompleted {
         worker: WorkerId,
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
-    ClientGone {
+    ClientDisconnected {
         request: RequestId,
     },
     /// The dispatcher is to end: all that is open by then is answered at this time, and what still comes too.
-    Ending {
-        by: Nanos,
+    Shutdown {
+        deadline: Nanos,
     },
     /// Rules that all dispatchers agree on, to be acted on in full until then, and afterwards only carefully. Told again
     /// with the same rules, they hold for longer.
     Rules {
         rules: Arc<Rules>,
-        until: Nanos,
+        valid_until: Nanos,
     },
     /// A moment asked for with `Wake` has come.
     Wake,
@@ -267,41 +271,41 @@
 pub struct Rules {
     /// Into how many even parts limits, and what a cold worker bears, are divided. Takes the place of the settings'
     /// `dispatchers`.
-    pub parts: u32,
+    pub quota_shares: u32,
     /// Attempts that a request may have at most, beside what the settings allow.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Shortest and longest Retry-After.
     pub retry_after: (Nanos, Nanos),
     /// Requests a second that all dispatchers together take of a tenant.
-    pub limits: BTreeMap<u32, f64>,
+    pub tenant_rates_per_s: BTreeMap<u32, f64>,
     /// Workers that are not open to all, and tenants that go only to those that are theirs.
-    pub workers: BTreeMap<u64, RuledUse>,
-    pub owners: BTreeSet<u32>,
-    pub careful: CarefulRules,
+    pub worker_restrictions: BTreeMap<u64, WorkerRestriction>,
+    pub tenants_with_reserved_workers: BTreeSet<u32>,
+    pub degraded: DegradedRules,
 }
 
 /// What a dispatcher may do that cannot know whether its rules still hold.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CarefulRules {
+pub struct DegradedRules {
     /// Of its part of each limit.
-    pub share: f64,
-    pub workers: BTreeSet<u64>,
+    pub quota_share: f64,
+    pub allowed_workers: BTreeSet<u64>,
     /// Also workers that are not named at all, and tenants without a limit.
-    pub others: bool,
-    pub unlimited: bool,
+    pub allows_unlisted_workers: bool,
+    pub allows_unlimited_tenants: bool,
 }
 
 /// Whom a worker may be sent new work of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RuledUse {
+pub enum WorkerRestriction {
     /// Nobody's.
     Cordoned,
     /// Nobody's, and what has not started is called back.
     Drained,
     /// The same, and it is not even probed.
-    Never,
+    Excluded,
     /// Only this tenant's.
-    Only(u32),
+    ReservedFor(u32),
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -312,14 +316,14 @@
         request: RequestId,
         worker: WorkerId,
         timeout: Nanos,
-        by: Nanos,
+        send_by: Nanos,
     },
     Cancel {
         request: RequestId,
         attempt: u32,
     },
     /// Final answer: turned away, a retry is harmless.
-    Refuse {
+    Reject {
         request: RequestId,
         retry_after: Nanos,
     },
@@ -342,8 +346,9 @@
     /// Whether decisions can be made by these figures at all.
     pub fn check(&self) -> Result<(), SettingsError> {
         let usable = |x: f64| x.is_finite() && x >= 0.0;
-        let classes = |c: &Class| usable(c.stretch) && usable(c.worth) && usable(c.late_worth);
-        let cold = usable(self.contract.cold_from) && usable(self.contract.fall_multiple);
+        let classes =
+            |c: &Class| usable(c.latency_stretch) && usable(c.priority_weight) && usable(c.late_weight_share);
+        let cold = usable(self.limits.slow_start_initial_share) && usable(self.limits.overload_multiple);
         for (wrong, error) in [
             (self.classes.is_empty(), SettingsError::NoClasses),
             (self.dispatchers == 0, SettingsError::NoDispatchers),
--- a/crates/dispatcher/src/load.rs
+++ b/crates/dispatcher/src/load.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use crate::interface::{Nanos, Report, Settings};
+use crate::interface::{LoadReport, Nanos, Settings};
 
 /// What of a report's free slots a dispatcher counts as its own.
 pub struct Part {
@@ -100,7 +100,7 @@
     }
 
     /// Takes the own part of a report. Figures that cannot be count as not told.
-    pub fn report(&mut self, now: Nanos, report: &Report, part: &Part) {
+    pub fn report(&mut self, now: Nanos, report: &LoadReport, part: &Part) {
         self.moved(now, 0.0, 0.0);
         let unseen: f64 = self.recent.iter().map(|(_, slots, _)| slots).sum();
         let unseen_memory: f64 = self.recent.iter().map(|(.., memory)| memory).sum();
@@ -152,10 +152,10 @@
 
     /// How long a worker with work may go without a sign of life, where the longest usual run is known (ns).
     pub fn silence(settings: &Settings, longest_run: f64) -> Nanos {
-        if settings.tells_start {
+        if settings.notifies_job_start {
             SILENCE
-        } else if settings.progress > 0 {
-            settings.progress + SILENCE
+        } else if settings.progress_interval > 0 {
+            settings.progress_interval + SILENCE
         } else {
             (4.0 * longest_run) as Nanos + SILENCE
         }
--- a/crates/dispatcher/src/meters.rs
+++ b/crates/dispatcher/src/meters.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher measures of its traffic: how much comes, which of it is within its tenant's share, and how full
 //! workers are.
 
-use crate::interface::{Nanos, Report, Settings, Tenant};
+use crate::interface::{LoadReport, Nanos, Settings, Tenant};
 
 const SECOND: f64 = 1e9;
 /// Slots of a worker that has not told them, and the part of them that is in use on an ordinary day.
@@ -36,7 +36,7 @@
         let per_s = if guess > 0.0 { guess } else { f64::INFINITY };
         // A run is taken for twice its aim, as at the module's start, and for a second at most: a few dispatchers with
         // long jobs are not many with little traffic.
-        let runs: f64 = settings.classes.iter().map(|c| 2.0 * c.aim as f64 / SECOND).sum();
+        let runs: f64 = settings.classes.iter().map(|c| 2.0 * c.latency_objective as f64 / SECOND).sum();
         let run = (runs / settings.classes.len().max(1) as f64).min(1.0);
         let each = SLOTS * FILL / run / f64::from(settings.dispatchers);
         let each = Some(each).filter(|each| guess <= 0.0 && each.is_finite());
@@ -145,7 +145,7 @@
 
 impl Room {
     /// Counts the report of a worker with so many slots; what waits there takes the free ones.
-    pub fn seen(&mut self, report: &Report, slots: f64) {
+    pub fn seen(&mut self, report: &LoadReport, slots: f64) {
         let sound = |figure: Option<f64>| figure.filter(|f| f.is_finite() && *f >= 0.0).unwrap_or(0.0);
         let free = (sound(report.free_slots) - sound(report.queued)) / slots.max(1.0);
         self.0 += ROOM_SEEN * (free.clamp(0.0, 1.0) - self.0);
--- a/crates/dispatcher/src/rules.rs
+++ b/crates/dispatcher/src/rules.rs
@@ -158,7 +158,7 @@
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Workers { kind, entries } => self.list(kind, entries, actions),
+            Event::WorkerList { kind, entries } => self.list(kind, entries, actions),
             Event::Request(request) => self.request(request, actions),
             Event::Progress { request, attempt } => self.progress(request, attempt),
             Event::Streaming { request, attempt } => {
@@ -167,23 +167,25 @@
                     job.streaming = true;
                 }
             }
-            Event::Outcome { request, attempt, outcome, finished, report } => {
+            Event::AttemptEnded { request, attempt, outcome, finished, report } => {
                 self.outcome(request, attempt, (outcome, finished, report), actions);
             }
-            Event::Probed { worker, outcome, report } => self.probed(worker, outcome, report, actions),
-            Event::ClientGone { request } => {
+            Event::ProbeCompleted { worker, outcome, report } => {
+                self.probed(worker, outcome, report, actions)
+            }
+            Event::ClientDisconnected { request } => {
                 self.call_back(request, actions);
                 self.end(request);
             }
-            Event::Ending { by } => {
+            Event::Shutdown { deadline: by } => {
                 self.ending = by.min(self.ending);
                 for id in self.jobs.keys() {
                     self.agenda.put(self.ending, Due::Deadline(*id));
                 }
             }
-            Event::Rules { rules, until } => self.rules(rules, until, actions),
+            Event::Rules { rules, valid_until: until } => self.rules(rules, until, actions),
             // A wake may come a little early, where the caller's clock is coarser: ask again for the next.
-            Event::Wake => self.agenda.woken(self.now + self.settings.resolution),
+            Event::Wake => self.agenda.woken(self.now + self.settings.clock_resolution),
         }
         while let Some(due) = self.agenda.next(self.now) {
             match due {
@@ -211,21 +213,21 @@
     // ---- the list of workers -------------------------------------------------------------------------
 
     fn list(&mut self, kind: ListKind, entries: Vec<WorkerEntry>, actions: &mut Vec<Action>) {
-        if self.settings.must_subscribe && !self.asked {
+        if self.settings.requires_subscription && !self.asked {
             // Unasked for, the list grows old, and what it does not tell counts as told.
             self.asked = true;
             actions.push(Action::Subscribe);
         }
         match kind {
-            ListKind::Failed if !self.settings.must_subscribe => return,
+            ListKind::Failed if !self.settings.requires_subscription => return,
             ListKind::Failed => {
                 // All dispatchers fail together when the list service is overloaded: come back spread out.
                 let delay = self.jittered(500 * MS + 10 * MS * u64::from(self.settings.dispatchers));
-                let at = self.now + delay.min(self.settings.contract.must_ask / 2);
+                let at = self.now + delay.min(self.settings.limits.unsubscribed_list_validity / 2);
                 return self.at(at, Due::Subscribe);
             }
             ListKind::Changes | ListKind::Stale => {}
-            ListKind::Full | ListKind::Saved => {
+            ListKind::Complete | ListKind::Cached => {
                 let listed: BTreeSet<usize> = entries.iter().map(|entry| entry.worker.0 as usize).collect();
                 for index in (0..self.workers.len()).filter(|index| !listed.contains(index)) {
                     self.workers[index].iter_mut().for_each(|worker| worker.ready = false);
@@ -235,7 +237,7 @@
         }
         // All of them first: how many there are tells whether each is probed for a start.
         for entry in &entries {
-            let ready = entry.membership == Membership::Ready;
+            let ready = entry.status == WorkerStatus::Ready;
             self.ring.set(mix(entry.address_hash), entry.worker.0 as usize, ready);
         }
         self.demand.listed(self.ring.len());
@@ -245,7 +247,7 @@
         let ready = self.workers.iter().flatten().filter(|w| w.ready);
         let (sum, count) = ready.fold((0.0, 0.0), |(sum, count), w| (sum + self.told(w), count + 1.0));
         self.mean = if count > 0.0 { sum / count } else { 1.0 };
-        let stale = kind == ListKind::Stale || self.stale && kind == ListKind::Saved;
+        let stale = kind == ListKind::Stale || self.stale && kind == ListKind::Cached;
         if std::mem::replace(&mut self.stale, stale) != stale {
             self.settle_all(actions);
         }
@@ -256,7 +258,7 @@
         if self.workers.len() <= index {
             self.workers.resize_with(index + 1, || None);
         }
-        let ready = entry.membership == Membership::Ready;
+        let ready = entry.status == WorkerStatus::Ready;
         if let Some(worker) = &mut self.workers[index] {
             let restarted = entry.started.is_some() && entry.started > worker.entry.started;
             self.ring.set(mix(worker.entry.address_hash), index, false);
@@ -298,10 +300,12 @@
     // ---- rules that all agree on ---------------------------------------------------------------------
 
     fn rules(&mut self, rules: Arc<Rules>, until: Nanos, actions: &mut Vec<Action>) {
-        self.settings.dispatchers = rules.parts.max(1);
+        self.settings.dispatchers = rules.quota_shares.max(1);
         let changed = self.told.tell(rules, until, self.now);
-        let tells = changed && self.settings.can_cancel && self.settings.tells_start;
-        let again = |job: &Job| self.settings.classes[job.request.class as usize].effect != Effect::Unsafe;
+        let tells = changed && self.settings.can_cancel && self.settings.notifies_job_start;
+        let again = |job: &Job| {
+            self.settings.classes[job.request.class as usize].idempotency != Idempotency::NonIdempotent
+        };
         let hash = |n: usize| self.workers[n].as_ref().map(|w| w.entry.address_hash);
         let drained = |n: usize| hash(n).is_some_and(|hash| self.told.drained(hash));
         for (id, job) in self.jobs.iter().filter(|(_, job)| tells && again(job)) {
@@ -329,7 +333,7 @@
         if let Some(wait) = self.told.beyond(request.tenant, self.now) {
             let wait = self.jittered(wait);
             let retry_after = self.told.retry_after(wait).min(self.settings.max_retry_after);
-            return actions.push(Action::Refuse { request: id, retry_after });
+            return actions.push(Action::Reject { request: id, retry_after });
         }
         let class = &self.settings.classes[request.class as usize];
         let view = &self.classes[request.class as usize];
@@ -337,9 +341,9 @@
         // is more likely the first try of a client in a hurry, whose aim begins now.
         let hurried = request.time_left < view.longest / HURRIED;
         let elapsed = if hurried { 0 } else { view.longest.saturating_sub(request.time_left) };
-        let slack = if self.sparse() { SLACK } else { (class.stretch - 1.3).max(0.0) };
-        let useful = class.aim as f64 + slack * view.run;
-        let deadline = self.now + request.time_left.saturating_sub(2 * self.settings.resolution);
+        let slack = if self.sparse() { SLACK } else { (class.latency_stretch - 1.3).max(0.0) };
+        let useful = class.latency_objective as f64 + slack * view.run;
+        let deadline = self.now + request.time_left.saturating_sub(2 * self.settings.clock_resolution);
         let deadline = deadline.min(self.ending);
         let patience = (self.now + useful as Nanos).saturating_sub(elapsed).min(deadline);
         let over_share = self.shares.over(request.tenant, self.now);
@@ -389,7 +393,7 @@
     }
 
     fn late_counts(&self, job: &Job) -> bool {
-        self.settings.classes[job.request.class as usize].late_worth > 0.0
+        self.settings.classes[job.request.class as usize].late_weight_share > 0.0
     }
 
     fn hold(&mut self, id: RequestId, rank: u8) {
@@ -435,8 +439,11 @@
     /// The final answer, unless it has been given: a refusal where that is harmless, else a failure.
     fn answer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id).filter(|job| !job.over && !job.streaming) else { return };
-        let effect = self.settings.classes[job.request.class as usize].effect;
-        let again = matches!(effect, Effect::Safe | Effect::Keyed(Group::All));
+        let effect = self.settings.classes[job.request.class as usize].idempotency;
+        let again = matches!(
+            effect,
+            Idempotency::Idempotent | Idempotency::IdempotentWithKey(DeduplicationScope::All)
+        );
         self.finish(id, again || job.first_ran().is_none(), actions);
     }
 
@@ -447,7 +454,7 @@
             let longest = self.settings.max_retry_after;
             let retry_after = if self.sparse() { self.jittered(AGAIN) } else { longest };
             let retry_after = self.told.retry_after(retry_after).min(longest);
-            actions.push(Action::Refuse { request: id, retry_after });
+            actions.push(Action::Reject { request: id, retry_after });
         } else {
             actions.push(Action::Fail { request: id });
         }
@@ -476,13 +483,13 @@
     // ---- the pick ------------------------------------------------------------------------------------
 
     fn may_go_on(&self, job: &Job) -> bool {
-        let effect = self.settings.classes[job.request.class as usize].effect;
+        let effect = self.settings.classes[job.request.class as usize].idempotency;
         !job.over
             && !job.streaming
             && self.now < job.deadline.min(self.send_by(job))
             && job.attempts.len() < self.settings.max_attempts.min(self.told.attempts()) as usize
-            && (self.settings.parallel_tries || job.attempts.iter().all(|a| !a.out))
-            && !(effect == Effect::Unsafe && job.first_ran().is_some())
+            && (self.settings.allows_hedging || job.attempts.iter().all(|a| !a.out))
+            && !(effect == Idempotency::NonIdempotent && job.first_ran().is_some())
     }
 
     /// Whether a worker is open for the job.
@@ -505,7 +512,7 @@
         free + k >= job.request.slots
             && (!lesser || free + worker.load.others >= job.request.slots + RESERVE * worker.load.size)
             && worker.load.memory.is_none_or(|m| m >= job.request.memory)
-            && class.kind.is_none_or(|kind| kind == worker.entry.kind)
+            && class.required_kind.is_none_or(|kind| kind == worker.entry.kind)
             && (job.homes.is_empty() || job.homes.contains(&index))
             && !self.silent(worker)
             && self.told.allows(worker.entry.address_hash, job.request.tenant, self.now)
@@ -528,7 +535,7 @@
         let Some(worker) = &self.workers[index] else { return false };
         let Some(limit) = self.cold_limit(worker, job.request.class) else { return true };
         let draw = job.cold_draws.iter().find(|draw| draw.worker == index && draw.at >= worker.since);
-        let lasts = |at| self.now <= at + self.settings.contract.fall / 2;
+        let lasts = |at| self.now <= at + self.settings.limits.overload_duration / 2;
         let drawn = draw.is_some_and(|draw| draw.admitted && lasts(draw.at));
         match limit.pacing {
             Pacing::RandomDraw => drawn && job.attempts.is_empty(),
@@ -557,7 +564,7 @@
     /// the earlier worker then and by what is now, for either may be the older news.
     fn in_group(&self, worker: &Worker, job: &Job) -> bool {
         let class = &self.settings.classes[job.request.class as usize];
-        let like = |entry: &WorkerEntry| class.drops_repeat(entry, &worker.entry);
+        let like = |entry: &WorkerEntry| class.deduplicates(entry, &worker.entry);
         let now_like = |n: usize| self.workers[n].as_ref().is_some_and(|first| like(&first.entry));
         job.attempts.iter().filter(|a| a.maybe_ran).all(|a| like(&a.entry) && now_like(a.worker))
     }
@@ -565,7 +572,8 @@
     /// Until when a further attempt may be written.
     fn send_by(&self, job: &Job) -> Nanos {
         let class = &self.settings.classes[job.request.class as usize];
-        job.first_ran().map_or(Nanos::MAX, |first| class.send_by(first, self.settings.connect))
+        job.first_ran()
+            .map_or(Nanos::MAX, |first| class.resend_deadline(first, self.settings.connect_timeout))
     }
 
     /// An open worker for the job, at random among those that suit it best.
@@ -608,22 +616,23 @@
         job.attempts.push(Attempt::begin(index, worker.entry.clone(), self.now));
         let Request { slots, memory, class, .. } = job.request;
         let class = class as usize;
-        let patience = job.patience.max(self.now + self.settings.classes[class].aim);
+        let patience = job.patience.max(self.now + self.settings.classes[class].latency_objective);
         worker.load.sent(self.now, slots, memory);
         worker.signs.sent(self.now);
-        actions.push(Action::Send { request: id, worker: WorkerId(index as u32), timeout: 0, by });
+        actions.push(Action::Send { request: id, worker: WorkerId(index as u32), timeout: 0, send_by: by });
         let limit = self.workers[index].as_ref().and_then(|worker| self.cold_limit(worker, class as u32));
         if let (Some(limit), Some(worker)) = (limit, &mut self.workers[index]) {
             let next = worker.bucket.take(&limit, slots, self.now);
             self.at(next, Due::Serve(index));
         }
-        if !self.settings.tells_start {
+        if !self.settings.notifies_job_start {
             self.begins(id, attempt);
         }
-        if self.settings.classes[class].effect != Effect::Unsafe && self.settings.can_cancel {
+        if self.settings.classes[class].idempotency != Idempotency::NonIdempotent && self.settings.can_cancel
+        {
             self.at(self.now + self.silence() + 1, Due::Unheard(id, attempt));
         }
-        if self.settings.tells_start && self.settings.can_cancel {
+        if self.settings.notifies_job_start && self.settings.can_cancel {
             self.at(patience, Due::Unheard(id, attempt));
         }
         self.settle(index);
@@ -706,7 +715,8 @@
 
     /// Its registered size, if that is told and can be.
     fn told(&self, worker: &Worker) -> f64 {
-        let sound = |weight: &f64| self.settings.tells_size && *weight > 0.0 && weight.is_finite();
+        let sound =
+            |weight: &f64| self.settings.reports_registered_size && *weight > 0.0 && weight.is_finite();
         Some(worker.entry.weight).filter(sound).unwrap_or(1.0)
     }
 
@@ -787,7 +797,7 @@
         if let Some(worker) = &mut self.workers[attempt.worker] {
             worker.signs.ended(self.now, first, true);
         }
-        if first && self.settings.tells_start {
+        if first && self.settings.notifies_job_start {
             self.begins(id, number);
         }
     }
@@ -797,7 +807,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let attempt = &mut job.attempts[number as usize];
         let entry = &attempt.entry;
-        let warm = self.settings.contract.warm_part(entry.started, self.now, 0).is_none();
+        let warm = self.settings.limits.warm_part(entry.started, self.now, 0).is_none();
         if warm || !self.rates.seen_warm(entry.kind) {
             let worker = self.workers[attempt.worker].as_ref().filter(|_| warm);
             let present = worker.and_then(|w| self.rates.present(entry.kind, w.reported.as_ref()?));
@@ -818,13 +828,13 @@
         let first = heard.is_none();
         let Request { slots, memory, key, class, tenant, .. } = job.request;
         // Where starts are not told, what is heard first is how far it is.
-        let begun = heard.filter(|_| self.settings.tells_start).unwrap_or(sent);
+        let begun = heard.filter(|_| self.settings.notifies_job_start).unwrap_or(sent);
         if outcome == Outcome::Ok {
             let attempt = if sparse { self.now - begun } else { self.now - sent };
             self.classes[class as usize].ended(attempt as f64);
         }
         if let Some(begun) = present {
-            let stay = Stay::of(outcome, self.settings.contract.warm_part(entry.started, self.now, 0));
+            let stay = Stay::of(outcome, self.settings.limits.warm_part(entry.started, self.now, 0));
             self.rates.end(entry.kind, class, begun, self.now, stay);
         }
         let part = self.part(index);
@@ -835,10 +845,10 @@
                 Outcome::Ok => worker.failures *= 1.0 - FORGIVE,
                 Outcome::Error | Outcome::Timeout => worker.failed(1.0),
                 // Connections break, and jobs are killed, one by one; whether all has gone its probe tells.
-                Outcome::Full | Outcome::Reset | Outcome::ConnectFailed => worker.failed(FORGIVE),
+                Outcome::Rejected | Outcome::Reset | Outcome::ConnectFailed => worker.failed(FORGIVE),
                 // Cancelled for its silence: the worker may hang, and must not look idle for it.
                 Outcome::Cancelled if first && quiet => worker.failed(1.0),
-                Outcome::Unusable | Outcome::Cancelled | Outcome::NotSent => {}
+                Outcome::InvalidJob | Outcome::Cancelled | Outcome::NotSent => {}
             }
             let gave_none = matches!(outcome, Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent);
             worker.signs.ended(self.now, first, !gave_none);
@@ -850,7 +860,7 @@
             job.over |= finished;
             if job.over {
                 self.end(id);
-            } else if outcome == Outcome::Unusable {
+            } else if outcome == Outcome::InvalidJob {
                 // Any other worker would say the same, and so would they to the client's next try.
                 self.shares.give_back(job.request.tenant.filter(|_| !job.over_share));
                 self.finish(id, false, actions);
@@ -942,7 +952,13 @@
         }
     }
 
-    fn probed(&mut self, id: WorkerId, outcome: Outcome, report: Option<Report>, actions: &mut Vec<Action>) {
+    fn probed(
+        &mut self,
+        id: WorkerId,
+        outcome: Outcome,
+        report: Option<LoadReport>,
+        actions: &mut Vec<Action>,
+    ) {
         let index = id.0 as usize;
         let part = self.part(index);
         let warm = self.workers.get(index).and_then(Option::as_ref).is_some_and(|w| self.warm(w).is_none());
@@ -993,8 +1009,10 @@
         let again = again && self.now < self.send_by(job);
         let quiet = self.workers[attempt.worker].as_ref().is_some_and(|w| self.silent(w));
         // Not started when it can only be late any more, it would take slots for nothing.
-        let last = job.patience.max(attempt.sent + self.settings.classes[job.request.class as usize].aim);
-        let useless = self.settings.tells_start && self.now >= last && !self.late_counts(job);
+        let last = job
+            .patience
+            .max(attempt.sent + self.settings.classes[job.request.class as usize].latency_objective);
+        let useless = self.settings.notifies_job_start && self.now >= last && !self.late_counts(job);
         if useless || quiet && again && job.attempts.len() < self.settings.max_attempts as usize {
             actions.push(Action::Cancel { request: id, attempt: number });
         }
@@ -1004,7 +1022,7 @@
 
     /// The part of its capacity that a cold worker has at least; `None` if it is warm.
     fn warm(&self, worker: &Worker) -> Option<f64> {
-        self.settings.contract.warm_part(worker.entry.started, self.now, 0)
+        self.settings.limits.warm_part(worker.entry.started, self.now, 0)
     }
 
     /// What this dispatcher may send a worker of a class's jobs; `None` if it is warm.
--- a/crates/dispatcher/src/service_rate.rs
+++ b/crates/dispatcher/src/service_rate.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::interface::{Nanos, Outcome, Report, Settings};
+use crate::interface::{LoadReport, Nanos, Outcome, Settings};
 
 const SECOND: f64 = 1e9;
 /// Weight of the past against one more sample: about the last hundred count. That is enough for a mean of jobs with
@@ -115,7 +115,7 @@
             kinds: BTreeMap::new(),
             classes: settings.classes.iter().map(|class| MeanTime::new(class.deadline)).collect(),
             deadline: settings.classes.iter().map(|class| class.deadline / count).sum(),
-            with_queue: !settings.tells_start,
+            with_queue: !settings.notifies_job_start,
         }
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Jobs at a worker of a kind by its report.
-    pub fn present(&self, kind: u32, report: &Report) -> Option<f64> {
+    pub fn present(&self, kind: u32, report: &LoadReport) -> Option<f64> {
         let sound = |figure: Option<f64>| figure.filter(|f| f.is_finite() && *f >= 0.0);
         let queued = sound(report.queued).filter(|_| self.with_queue).unwrap_or(0.0);
         let slots = self.kinds.get(&kind).map_or(1.0, |kind| kind.most_slots);
--- a/crates/dispatcher/src/state.rs
+++ b/crates/dispatcher/src/state.rs
@@ -2,7 +2,7 @@
 //! in `rules.rs`.
 
 use crate::cold_start::{AskCount, TokenBucket};
-use crate::interface::{Class, Nanos, Outcome, Report, Request, RequestId, WorkerEntry};
+use crate::interface::{Class, LoadReport, Nanos, Outcome, Request, RequestId, WorkerEntry};
 use crate::load::{Load, Part, Signs};
 
 /// A worker that was ever listed.
@@ -13,7 +13,7 @@
     /// When this entry began, or its worker restarted: what was sent before is void.
     pub since: Nanos,
     /// What it reported, and the same less own sends.
-    pub reported: Option<Report>,
+    pub reported: Option<LoadReport>,
     pub load: Load,
     /// Closed by a failure until its next probe.
     pub shut: bool,
@@ -111,7 +111,7 @@
 
 impl ClassView {
     pub fn new(class: &Class) -> Self {
-        let run = 2.0 * class.aim as f64;
+        let run = 2.0 * class.latency_objective as f64;
         ClassView { run, longest: class.deadline }
     }
 
@@ -122,7 +122,7 @@
 }
 
 /// How an attempt ended, whether its request is over, and what was reported with it.
-pub type End = (Outcome, bool, Option<Report>);
+pub type End = (Outcome, bool, Option<LoadReport>);
 
 impl Worker {
     /// One of which nothing is known yet.
@@ -162,7 +162,7 @@
     }
 
     /// Takes a report, of which `part` is this dispatcher's.
-    pub fn report(&mut self, now: Nanos, report: &Report, part: &Part) {
+    pub fn report(&mut self, now: Nanos, report: &LoadReport, part: &Part) {
         self.reported = Some(*report);
         self.load.report(now, report, part);
         let rate = |r: Option<f64>| r.filter(|r| r.is_finite()).unwrap_or(0.0);
--- a/crates/dispatcher/tests/agreed.rs
+++ b/crates/dispatcher/tests/agreed.rs
@@ -17,21 +17,26 @@
 }
 
 fn open_rules() -> Rules {
-    let careful = CarefulRules { share: 1.0, workers: BTreeSet::new(), others: true, unlimited: true };
+    let careful = DegradedRules {
+        quota_share: 1.0,
+        allowed_workers: BTreeSet::new(),
+        allows_unlisted_workers: true,
+        allows_unlimited_tenants: true,
+    };
     Rules {
-        parts: 1,
-        attempts: 4,
+        quota_shares: 1,
+        max_attempts: 4,
         retry_after: (0, 600 * S),
-        limits: BTreeMap::new(),
-        workers: BTreeMap::new(),
-        owners: BTreeSet::new(),
-        careful,
+        tenant_rates_per_s: BTreeMap::new(),
+        worker_restrictions: BTreeMap::new(),
+        tenants_with_reserved_workers: BTreeSet::new(),
+        degraded: careful,
     }
 }
 
 fn tenants() -> Settings {
     let quota = |quota_per_s| Tenant { quota_per_s };
-    Settings { tenants: vec![quota(1e6), quota(1e6)], ..settings(vec![class(Effect::Safe)]) }
+    Settings { tenants: vec![quota(1e6), quota(1e6)], ..settings(vec![class(Idempotency::Idempotent)]) }
 }
 
 fn bench(workers: u32, slots: f64) -> Bench {
@@ -40,7 +45,7 @@
 
 fn tell(b: &mut Bench, rules: &Arc<Rules>, lease: Nanos) {
     let until = b.now + lease;
-    b.event(Event::Rules { rules: rules.clone(), until });
+    b.event(Event::Rules { rules: rules.clone(), valid_until: until });
 }
 
 fn ask(b: &mut Bench, id: u64, tenant: u32) {
@@ -48,13 +53,13 @@
 }
 
 #[rstest]
-#[case::cordoned(RuledUse::Cordoned)]
-#[case::drained(RuledUse::Drained)]
-#[case::never(RuledUse::Never)]
-#[case::anothers(RuledUse::Only(OTHER))]
-fn a_worker_that_is_set_apart_gets_nothing_new(#[case] put: RuledUse) {
+#[case::cordoned(WorkerRestriction::Cordoned)]
+#[case::drained(WorkerRestriction::Drained)]
+#[case::never(WorkerRestriction::Excluded)]
+#[case::anothers(WorkerRestriction::ReservedFor(OTHER))]
+fn a_worker_that_is_set_apart_gets_nothing_new(#[case] put: WorkerRestriction) {
     let mut b = bench(2, 9.0);
-    let rules = Arc::new(Rules { workers: [(hash(0), put)].into(), ..open_rules() });
+    let rules = Arc::new(Rules { worker_restrictions: [(hash(0), put)].into(), ..open_rules() });
     tell(&mut b, &rules, S);
     for id in 0..6 {
         ask(&mut b, id, TENANT);
@@ -67,8 +72,11 @@
 #[case::keyed(Some(7))]
 fn a_tenants_own_worker_gets_its_jobs_and_nobody_elses(#[case] key: Option<u64>) {
     let mut b = bench(40, 9.0);
-    let rules = Rules { workers: [(hash(0), RuledUse::Only(TENANT))].into(), ..open_rules() };
-    tell(&mut b, &Arc::new(Rules { owners: [TENANT].into(), ..rules }), S);
+    let rules = Rules {
+        worker_restrictions: [(hash(0), WorkerRestriction::ReservedFor(TENANT))].into(),
+        ..open_rules()
+    };
+    tell(&mut b, &Arc::new(Rules { tenants_with_reserved_workers: [TENANT].into(), ..rules }), S);
     for id in 0..4 {
         b.event(Event::Request(Request { tenant: Some(TENANT), key, ..request(id) }));
         assert_eq!(b.sends(id), [0]);
@@ -83,7 +91,10 @@
     ask(&mut b, 0, TENANT);
     ask(&mut b, 1, TENANT);
     b.event(Event::Progress { request: RequestId(0), attempt: 0 });
-    let rules = Arc::new(Rules { workers: [(hash(0), RuledUse::Drained)].into(), ..open_rules() });
+    let rules = Arc::new(Rules {
+        worker_restrictions: [(hash(0), WorkerRestriction::Drained)].into(),
+        ..open_rules()
+    });
     tell(&mut b, &rules, S);
     let cancels = |id| b.actions.contains(&Action::Cancel { request: RequestId(id), attempt: 0 });
     assert!(!cancels(0) && cancels(1));
@@ -92,9 +103,12 @@
 #[test]
 fn what_must_not_run_twice_is_left_to_a_drained_worker() {
     // Called back, it may have run: it could only be answered as failed, where the worker would have done it.
-    let mut b = Bench::open(settings(vec![class(Effect::Unsafe)]), vec![entry(0)], 9.0);
+    let mut b = Bench::open(settings(vec![class(Idempotency::NonIdempotent)]), vec![entry(0)], 9.0);
     b.ask(0);
-    let rules = Arc::new(Rules { workers: [(hash(0), RuledUse::Drained)].into(), ..open_rules() });
+    let rules = Arc::new(Rules {
+        worker_restrictions: [(hash(0), WorkerRestriction::Drained)].into(),
+        ..open_rules()
+    });
     tell(&mut b, &rules, S);
     assert!(!b.actions.iter().any(|a| matches!(a, Action::Cancel { .. })));
 }
@@ -102,7 +116,10 @@
 #[test]
 fn a_worker_that_is_never_to_be_used_is_not_probed_until_it_is_open_again() {
     let mut b = bench(1, 1.0);
-    let rules = Arc::new(Rules { workers: [(hash(0), RuledUse::Never)].into(), ..open_rules() });
+    let rules = Arc::new(Rules {
+        worker_restrictions: [(hash(0), WorkerRestriction::Excluded)].into(),
+        ..open_rules()
+    });
     ask(&mut b, 0, TENANT);
     tell(&mut b, &rules, 20 * S);
     b.pass(3 * S);
@@ -115,7 +132,10 @@
 #[test]
 fn a_held_job_goes_to_a_worker_that_is_opened_to_it() {
     let mut b = bench(1, 9.0);
-    let rules = Arc::new(Rules { workers: [(hash(0), RuledUse::Cordoned)].into(), ..open_rules() });
+    let rules = Arc::new(Rules {
+        worker_restrictions: [(hash(0), WorkerRestriction::Cordoned)].into(),
+        ..open_rules()
+    });
     tell(&mut b, &rules, 20 * S);
     ask(&mut b, 0, TENANT);
     assert!(b.sends(0).is_empty());
@@ -138,8 +158,13 @@
 #[test]
 fn a_tenant_gets_its_part_of_the_limit_and_no_more_and_less_when_cut_off() {
     let mut b = bench(1, 9.0);
-    let careful = CarefulRules { share: 0.5, ..open_rules().careful };
-    let rules = Rules { parts: 4, limits: [(TENANT, 400.0)].into(), careful, ..open_rules() };
+    let careful = DegradedRules { quota_share: 0.5, ..open_rules().degraded };
+    let rules = Rules {
+        quota_shares: 4,
+        tenant_rates_per_s: [(TENANT, 400.0)].into(),
+        degraded: careful,
+        ..open_rules()
+    };
     tell(&mut b, &Arc::new(rules), 2 * S);
     let full = goes_through(&mut b, 0, TENANT, 2 * S);
     assert!((190..=201).contains(&full), "{full} in 2 s at 100 a second");
@@ -150,7 +175,7 @@
 
 #[test]
 fn one_that_starts_again_has_not_its_part_twice() {
-    let rules = Arc::new(Rules { limits: [(TENANT, 100.0)].into(), ..open_rules() });
+    let rules = Arc::new(Rules { tenant_rates_per_s: [(TENANT, 100.0)].into(), ..open_rules() });
     let started = |_| {
         let mut b = bench(1, 9.0);
         tell(&mut b, &rules, S);
@@ -164,11 +189,11 @@
 fn beyond_its_limit_a_tenant_is_refused_at_once_with_a_retry_after_in_its_bounds() {
     let mut b = bench(1, 9.0);
     let retry_after = (700 * MS, 900 * MS);
-    let rules = Rules { limits: [(TENANT, 0.001)].into(), retry_after, ..open_rules() };
+    let rules = Rules { tenant_rates_per_s: [(TENANT, 0.001)].into(), retry_after, ..open_rules() };
     tell(&mut b, &Arc::new(rules), 100 * S);
     ask(&mut b, 0, TENANT);
     let told = b.actions.iter().find_map(|a| match a {
-        Action::Refuse { retry_after, .. } => Some(*retry_after),
+        Action::Reject { retry_after, .. } => Some(*retry_after),
         _ => None,
     });
     assert!(told.is_some_and(|told| (700 * MS..=900 * MS).contains(&told)), "{told:?}");
@@ -177,8 +202,12 @@
 #[test]
 fn cut_off_it_sends_only_where_every_version_allows_it_and_goes_on_when_it_hears_again() {
     let mut b = bench(3, 9.0);
-    let careful = CarefulRules { others: false, workers: [hash(2)].into(), ..open_rules().careful };
-    let rules = Arc::new(Rules { careful, ..open_rules() });
+    let careful = DegradedRules {
+        allows_unlisted_workers: false,
+        allowed_workers: [hash(2)].into(),
+        ..open_rules().degraded
+    };
+    let rules = Arc::new(Rules { degraded: careful, ..open_rules() });
     tell(&mut b, &rules, S);
     b.pass(S);
     for id in 0..5 {
@@ -198,8 +227,8 @@
 #[test]
 fn a_process_that_stood_still_sees_its_lapse_before_its_next_send() {
     let mut b = bench(1, 9.0);
-    let careful = CarefulRules { others: false, ..open_rules().careful };
-    tell(&mut b, &Arc::new(Rules { careful, ..open_rules() }), S);
+    let careful = DegradedRules { allows_unlisted_workers: false, ..open_rules().degraded };
+    tell(&mut b, &Arc::new(Rules { degraded: careful, ..open_rules() }), S);
     // No wake, no event: it was stopped.
     b.now += 10 * S;
     ask(&mut b, 0, TENANT);
@@ -217,10 +246,10 @@
 #[test]
 fn attempts_are_bounded_by_the_rules_too() {
     let mut b = bench(3, 9.0);
-    tell(&mut b, &Arc::new(Rules { attempts: 2, ..open_rules() }), 100 * S);
+    tell(&mut b, &Arc::new(Rules { max_attempts: 2, ..open_rules() }), 100 * S);
     b.ask(0);
     for attempt in 0..2 {
-        b.outcome(0, attempt, Outcome::Full);
+        b.outcome(0, attempt, Outcome::Rejected);
     }
     assert_eq!(b.sends(0).len(), 2);
 }
@@ -231,9 +260,9 @@
         let mut b = Bench::new(Settings { dispatchers: 3, ..tenants() });
         b.report = Some(free(3.0));
         if told {
-            tell(&mut b, &Arc::new(Rules { parts: 3, ..open_rules() }), 1_000 * S);
+            tell(&mut b, &Arc::new(Rules { quota_shares: 3, ..open_rules() }), 1_000 * S);
         }
-        b.workers(ListKind::Full, (0..50).map(entry).collect());
+        b.workers(ListKind::Complete, (0..50).map(entry).collect());
         let mut random = fastrand::Rng::with_seed(5);
         for id in 0..2_000 {
             let key = random.bool().then(|| random.u64(0..40));
@@ -241,7 +270,7 @@
             b.pass(random.u64(0..5 * MS));
             let ended = random.u64(0..=id);
             if b.sends(ended).len() == 1 {
-                b.outcome(ended, 0, [Outcome::Ok, Outcome::Full, Outcome::Reset][random.usize(0..3)]);
+                b.outcome(ended, 0, [Outcome::Ok, Outcome::Rejected, Outcome::Reset][random.usize(0..3)]);
             }
         }
         b.take()
--- a/crates/dispatcher/tests/cold_fleet/deployment.rs
+++ b/crates/dispatcher/tests/cold_fleet/deployment.rs
@@ -97,21 +97,21 @@
     pub fn settings(&self, dispatchers: u32, total: f64) -> Settings {
         let time = |seconds: f64| (seconds * SECOND) as Nanos;
         let classes = self.classes.iter().map(|job| Class {
-            aim: time(job.aim_s),
-            stretch: 2.5,
+            latency_objective: time(job.aim_s),
+            latency_stretch: 2.5,
             deadline: time(job.deadline_s),
-            ..class(Effect::Keyed(Group::All))
+            ..class(Idempotency::IdempotentWithKey(DeduplicationScope::All))
         });
         let mut settings = settings(classes.collect());
         settings.dispatchers = dispatchers;
         settings.tenants = vec![Tenant { quota_per_s: 1.4 * total }];
-        settings.tells_start = self.tells_start;
-        settings.contract = Contract {
-            cold_from: self.cold_from,
-            cold: time(self.cold_s),
-            fall_multiple: self.fall_multiple,
-            fall: time(self.fall_s),
-            must_ask: 10 * S,
+        settings.notifies_job_start = self.tells_start;
+        settings.limits = ServiceLimits {
+            slow_start_initial_share: self.cold_from,
+            slow_start_duration: time(self.cold_s),
+            overload_multiple: self.fall_multiple,
+            overload_duration: time(self.fall_s),
+            unsubscribed_list_validity: 10 * S,
         };
         settings
     }
--- a/crates/dispatcher/tests/cold_fleet/fleet.rs
+++ b/crates/dispatcher/tests/cold_fleet/fleet.rs
@@ -217,7 +217,7 @@
     fn begin(&mut self) {
         let count = self.seats.len();
         let tenth = count.div_ceil(10);
-        let cold = self.settings.contract.cold;
+        let cold = self.settings.limits.slow_start_duration;
         // With two, one restarts.
         let later = if self.case.churn && count > 2 { tenth } else { 0 };
         for n in 0..count {
@@ -262,7 +262,7 @@
     }
 
     pub fn run(mut self) -> Figures {
-        let end = BEGIN + self.settings.contract.cold;
+        let end = BEGIN + self.settings.limits.slow_start_duration;
         while let Some(Reverse((at, _, due))) = self.due.pop().filter(|Reverse((at, ..))| *at < end) {
             self.now = at;
             self.step(due);
@@ -306,7 +306,7 @@
                 }
             }
             Due::Back { attempt, outcome } => {
-                let outcome = [Outcome::Ok, Outcome::Cancelled, Outcome::Full][outcome as usize];
+                let outcome = [Outcome::Ok, Outcome::Cancelled, Outcome::Rejected][outcome as usize];
                 let finished = outcome == Outcome::Ok;
                 let here = self.seats[attempt.dispatcher].life == attempt.life;
                 if finished && here && self.clients.remove(&(attempt.client >> 8)).is_some() {
@@ -314,13 +314,13 @@
                 }
                 let request = RequestId(attempt.client);
                 let event =
-                    Event::Outcome { request, attempt: attempt.number, outcome, finished, report: None };
+                    Event::AttemptEnded { request, attempt: attempt.number, outcome, finished, report: None };
                 self.tell(attempt.dispatcher, attempt.life, event);
             }
             Due::Started { attempt } => {
                 let event = Event::Progress { request: RequestId(attempt.client), attempt: attempt.number };
                 let machine = &self.machines[attempt.worker as usize];
-                if self.settings.tells_start {
+                if self.settings.notifies_job_start {
                     self.tell(attempt.dispatcher, attempt.life, event);
                 } else if machine.running.iter().any(|(running, _)| *running == attempt) {
                     // Not of a start, but of how far it is.
@@ -335,13 +335,13 @@
                 self.at(self.now + WAY, Due::Probed { dispatcher, life, worker, free, queued });
             }
             Due::Probed { dispatcher, life, worker, free, queued } => {
-                let report = Report {
+                let report = LoadReport {
                     free_slots: Some(f64::from(free)),
                     queued: Some(f64::from(queued)),
-                    ..Report::default()
+                    ..LoadReport::default()
                 };
                 let (worker, outcome, report) = (WorkerId(worker), Outcome::Ok, Some(report));
-                self.tell(dispatcher, life, Event::Probed { worker, outcome, report });
+                self.tell(dispatcher, life, Event::ProbeCompleted { worker, outcome, report });
             }
             Due::Replace => self.replace(),
             Due::Tell => self.tell_all(),
@@ -361,7 +361,7 @@
                 self.seats[dispatcher].dispatcher = Some(made);
                 let entries = self.entries();
                 let life = self.seats[dispatcher].life;
-                self.tell(dispatcher, life, Event::Workers { kind: ListKind::Full, entries });
+                self.tell(dispatcher, life, Event::WorkerList { kind: ListKind::Complete, entries });
             }
         }
     }
@@ -381,7 +381,7 @@
         for dispatcher in 0..self.seats.len() {
             let entries = self.entries();
             let life = self.seats[dispatcher].life;
-            self.tell(dispatcher, life, Event::Workers { kind: ListKind::Full, entries });
+            self.tell(dispatcher, life, Event::WorkerList { kind: ListKind::Complete, entries });
         }
     }
 
@@ -421,7 +421,7 @@
             class: client.class as u32,
             key: client.key.map(|key| key.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
             time_left: client.until - self.now,
-            retry: client.tries > 1,
+            is_retry: client.tries > 1,
             ..common::request(0)
         };
         let life = self.seats[at].life;
@@ -454,7 +454,7 @@
                 Action::Probe { worker } => {
                     self.at(reach, Due::Probe { dispatcher, life, worker: worker.0 });
                 }
-                Action::Refuse { request, retry_after } => self.turned_away(request, retry_after),
+                Action::Reject { request, retry_after } => self.turned_away(request, retry_after),
                 Action::Fail { request } => self.turned_away(request, 100 * MS),
                 Action::Subscribe => {}
             }
@@ -474,10 +474,10 @@
     }
 
     fn warmth(&self, worker: u32, at: Nanos) -> f64 {
-        let contract = &self.settings.contract;
+        let contract = &self.settings.limits;
         let Some(started) = self.machines[worker as usize].started else { return 1.0 };
-        let age = at.saturating_sub(started) as f64 / contract.cold as f64;
-        (contract.cold_from + (1.0 - contract.cold_from) * age).min(1.0)
+        let age = at.saturating_sub(started) as f64 / contract.slow_start_duration as f64;
+        (contract.slow_start_initial_share + (1.0 - contract.slow_start_initial_share) * age).min(1.0)
     }
 
     fn work_of(&self, attempt: Attempt) -> f64 {
@@ -525,7 +525,7 @@
             let Some(attempt) = self.machines[worker as usize].queue.pop_front() else { break };
             let work = self.work_of(attempt);
             self.machines[worker as usize].running.push((attempt, work));
-            let first = if self.settings.tells_start { WAY } else { PROGRESS };
+            let first = if self.settings.notifies_job_start { WAY } else { PROGRESS };
             self.at(self.now + first, Due::Started { attempt });
         }
         let pace = self.pace(worker);
@@ -554,7 +554,7 @@
 
     fn judge(&mut self, end: Nanos) {
         let deployment = &self.case.deployment;
-        let fall = self.settings.contract.fall;
+        let fall = self.settings.limits.overload_duration;
         for worker in deployment.workers..deployment.workers + deployment.replaced {
             let machine = &self.machines[worker as usize];
             let most =
--- a/crates/dispatcher/tests/cold_start.rs
+++ b/crates/dispatcher/tests/cold_start.rs
@@ -11,9 +11,14 @@
 
 /// Settings of a fleet of dispatchers, with the figures of one contract.
 fn fleet_settings(dispatchers: u32) -> Settings {
-    let contract =
-        Contract { cold_from: 0.14, cold: 0, fall_multiple: 3.0, fall: 1_500_000_000, must_ask: 0 };
-    Settings { dispatchers, contract, ..settings(vec![class(Effect::Safe)]) }
+    let contract = ServiceLimits {
+        slow_start_initial_share: 0.14,
+        slow_start_duration: 0,
+        overload_multiple: 3.0,
+        overload_duration: 1_500_000_000,
+        unsubscribed_list_validity: 0,
+    };
+    Settings { dispatchers, limits: contract, ..settings(vec![class(Idempotency::Idempotent)]) }
 }
 
 /// The chance that as many independent arrivals or more come as are given, of so many on average.
@@ -116,9 +121,9 @@
     // Two cores, one job a second each, and so many slots; a third to all of them in use.
     for slots in [2.0, 4.0, 7.0] {
         for others in 0..slots as u32 {
-            let mut rates = ServiceRates::new(&settings(vec![class(Effect::Safe)]));
+            let mut rates = ServiceRates::new(&settings(vec![class(Idempotency::Idempotent)]));
             rates.seen_slots(0, slots);
-            let report = Report { free_slots: Some(slots - f64::from(others)), ..Report::default() };
+            let report = LoadReport { free_slots: Some(slots - f64::from(others)), ..LoadReport::default() };
             let took = f64::from(others + 1).max(2.0) / 2.0;
             for _ in 0..200 {
                 let present = rates.present(0, &report);
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -6,16 +6,16 @@
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000 * MS;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: Idempotency) -> Class {
     Class {
-        effect,
-        window: 10 * S,
-        aim: 100 * MS,
-        stretch: 2.0,
+        idempotency: effect,
+        deduplication_window: 10 * S,
+        latency_objective: 100 * MS,
+        latency_stretch: 2.0,
         deadline: 5 * S,
-        worth: 1.0,
-        late_worth: 0.0,
-        kind: None,
+        priority_weight: 1.0,
+        late_weight_share: 0.0,
+        required_kind: None,
     }
 }
 
@@ -25,19 +25,25 @@
         zone: 0,
         classes,
         tenants: vec![],
-        contract: Contract { cold_from: 0.2, cold: 10 * S, fall_multiple: 3.0, fall: S, must_ask: 10 * S },
-        must_subscribe: false,
+        limits: ServiceLimits {
+            slow_start_initial_share: 0.2,
+            slow_start_duration: 10 * S,
+            overload_multiple: 3.0,
+            overload_duration: S,
+            unsubscribed_list_validity: 10 * S,
+        },
+        requires_subscription: false,
         can_probe: true,
-        tells_size: true,
-        reports_slots: true,
-        tells_start: true,
-        progress: S,
+        reports_registered_size: true,
+        reports_free_slots: true,
+        notifies_job_start: true,
+        progress_interval: S,
         can_cancel: true,
-        parallel_tries: true,
+        allows_hedging: true,
         max_attempts: 4,
         max_retry_after: 2 * S,
-        connect: 200 * MS,
-        resolution: MS,
+        connect_timeout: 200 * MS,
+        clock_resolution: MS,
     }
 }
 
@@ -48,7 +54,7 @@
         zone: 0,
         kind: 0,
         cell: 0,
-        membership: Membership::Ready,
+        status: WorkerStatus::Ready,
         weight: 1.0,
         started: None,
     }
@@ -63,7 +69,7 @@
         memory: 0.0,
         key: None,
         time_left: 5 * S,
-        retry: false,
+        is_retry: false,
     }
 }
 
@@ -74,8 +80,8 @@
     mean * (normal * spread.sqrt() - spread / 2.0).exp()
 }
 
-pub fn free(slots: f64) -> Report {
-    Report { free_slots: Some(slots), ..Report::default() }
+pub fn free(slots: f64) -> LoadReport {
+    LoadReport { free_slots: Some(slots), ..LoadReport::default() }
 }
 
 pub struct Bench {
@@ -85,7 +91,7 @@
     pub actions: Vec<Action>,
     wakes: Vec<Nanos>,
     /// What a probed worker answers; `None` leaves probes unanswered.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 impl Bench {
@@ -102,7 +108,7 @@
     pub fn open(settings: Settings, workers: Vec<WorkerEntry>, slots: f64) -> Bench {
         let mut bench = Bench::new(settings);
         bench.report = Some(free(slots));
-        bench.workers(ListKind::Full, workers);
+        bench.workers(ListKind::Complete, workers);
         bench.pass(100 * MS);
         bench.report = None;
         bench.actions.clear();
@@ -125,7 +131,7 @@
         }
         if let Some(report) = self.report {
             for worker in probed {
-                self.event(Event::Probed { worker, outcome: Outcome::Ok, report: Some(report) });
+                self.event(Event::ProbeCompleted { worker, outcome: Outcome::Ok, report: Some(report) });
             }
         }
     }
@@ -142,7 +148,7 @@
     }
 
     pub fn workers(&mut self, kind: ListKind, entries: Vec<WorkerEntry>) {
-        self.event(Event::Workers { kind, entries });
+        self.event(Event::WorkerList { kind, entries });
     }
 
     pub fn ask(&mut self, id: u64) {
@@ -150,7 +156,7 @@
     }
 
     pub fn outcome(&mut self, id: u64, attempt: u32, outcome: Outcome) {
-        self.event(Event::Outcome {
+        self.event(Event::AttemptEnded {
             request: RequestId(id),
             attempt,
             outcome,
@@ -173,7 +179,7 @@
     }
 
     pub fn refused(&self, id: u64) -> bool {
-        self.actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if request.0 == id))
+        self.actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if request.0 == id))
     }
 
     pub fn failed(&self, id: u64) -> bool {
--- a/crates/dispatcher/tests/properties.rs
+++ b/crates/dispatcher/tests/properties.rs
@@ -43,18 +43,22 @@
     ]
 }
 
-const EFFECTS: [Effect; 4] =
-    [Effect::Safe, Effect::Unsafe, Effect::Keyed(Group::Zone), Effect::Keyed(Group::Cell)];
+const EFFECTS: [Idempotency; 4] = [
+    Idempotency::Idempotent,
+    Idempotency::NonIdempotent,
+    Idempotency::IdempotentWithKey(DeduplicationScope::Zone),
+    Idempotency::IdempotentWithKey(DeduplicationScope::Cell),
+];
 const OUTCOMES: [Outcome; 9] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::Timeout,
     Outcome::ConnectFailed,
     Outcome::Reset,
     Outcome::Cancelled,
     Outcome::NotSent,
-    Outcome::Unusable,
+    Outcome::InvalidJob,
 ];
 
 struct Try {
@@ -104,12 +108,12 @@
                     prop_assert!(self.list.contains_key(&worker.0), "probed a worker that is on no list");
                     self.probes.push(worker.0);
                 }
-                Action::Subscribe => prop_assert!(self.settings.must_subscribe),
+                Action::Subscribe => prop_assert!(self.settings.requires_subscription),
                 Action::Send { request, worker, .. } => self.sent(request.0, worker.0)?,
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let taken = &self.taken[&request.0];
                     let harmless = match EFFECTS[taken.class] {
-                        Effect::Safe => true,
+                        Idempotency::Idempotent => true,
                         _ => taken.tries.iter().all(|t| !t.maybe),
                     };
                     prop_assert!(harmless, "refused what may have run");
@@ -136,7 +140,7 @@
     fn sent(&mut self, id: u64, worker: u32) -> Result<(), TestCaseError> {
         let entry = self.list.get(&worker).cloned();
         prop_assert!(
-            entry.as_ref().is_some_and(|e| e.membership == Membership::Ready),
+            entry.as_ref().is_some_and(|e| e.status == WorkerStatus::Ready),
             "sent to a worker that drains or is gone"
         );
         let word = self.words.get(&worker).copied();
@@ -148,38 +152,44 @@
         let taken = self.taken.get_mut(&id).expect("known");
         prop_assert!(!taken.over, "sent after the end");
         prop_assert!(taken.tries.len() < settings.max_attempts as usize, "too many attempts");
-        prop_assert!(settings.parallel_tries || taken.tries.iter().all(|t| !t.out), "two attempts at once");
+        prop_assert!(settings.allows_hedging || taken.tries.iter().all(|t| !t.out), "two attempts at once");
         for t in taken.tries.iter().filter(|t| t.maybe) {
             let first = list.get(&t.worker).cloned().unwrap_or_else(|| line(t.worker));
             match EFFECTS[taken.class] {
-                Effect::Safe => {}
-                Effect::Unsafe => prop_assert!(false, "an unsafe request that may have run was sent again"),
-                Effect::Keyed(group) => {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => {
+                    prop_assert!(false, "an unsafe request that may have run was sent again")
+                }
+                Idempotency::IdempotentWithKey(group) => {
                     let same = match group {
-                        Group::All => true,
-                        Group::Zone => first.zone == entry.zone,
-                        Group::Cell => first.cell == entry.cell,
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => first.zone == entry.zone,
+                        DeduplicationScope::Cell => first.cell == entry.cell,
                     };
                     prop_assert!(same, "sent outside its group");
                     prop_assert!(
-                        now <= t.sent + settings.classes[taken.class].window,
+                        now <= t.sent + settings.classes[taken.class].deduplication_window,
                         "sent after its window"
                     );
                 }
             }
         }
         taken.tries.push(Try { worker, sent: now, out: true, maybe: true });
-        let contract = &settings.contract;
-        if entry.started.is_some_and(|s| now < s + contract.cold) {
+        let contract = &settings.limits;
+        if entry.started.is_some_and(|s| now < s + contract.slow_start_duration) {
             // The least that a job may count is not known; one attempt in flight of the smallest budget is
             // always allowed, and beyond it the rate of the whole fleet's budget binds.
             let sends = self.cold.entry(worker).or_default();
             sends.push((now, taken.slots));
-            let age = (now - entry.started.unwrap_or(now)) as f64 / contract.cold as f64;
-            let capacity = 9.0 * (contract.cold_from + (1.0 - contract.cold_from) * age);
-            let window: f64 =
-                sends.iter().filter(|(at, _)| at + contract.fall > now).map(|(_, slots)| slots * 0.02).sum();
-            prop_assert!(window <= contract.fall_multiple * capacity, "a cold worker was pushed over");
+            let age = (now - entry.started.unwrap_or(now)) as f64 / contract.slow_start_duration as f64;
+            let capacity =
+                9.0 * (contract.slow_start_initial_share + (1.0 - contract.slow_start_initial_share) * age);
+            let window: f64 = sends
+                .iter()
+                .filter(|(at, _)| at + contract.overload_duration > now)
+                .map(|(_, slots)| slots * 0.02)
+                .sum();
+            prop_assert!(window <= contract.overload_multiple * capacity, "a cold worker was pushed over");
         }
         Ok(())
     }
@@ -197,13 +207,13 @@
         Ok(())
     }
 
-    fn entry(&mut self, worker: u32, membership: Membership, restart: bool) -> WorkerEntry {
+    fn entry(&mut self, worker: u32, membership: WorkerStatus, restart: bool) -> WorkerEntry {
         let old = self.list.get(&worker).and_then(|e| e.started);
         if restart {
             self.cold.remove(&worker);
         }
         let started = if restart { Some(self.now) } else { old };
-        WorkerEntry { membership, started, ..line(worker) }
+        WorkerEntry { status: membership, started, ..line(worker) }
     }
 
     fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
@@ -240,7 +250,7 @@
                 taken.tries[number].maybe = !outcome.never_ran();
                 taken.over |= outcome == Outcome::Ok;
                 let finished = taken.over;
-                let event = || Event::Outcome {
+                let event = || Event::AttemptEnded {
                     request: RequestId(id),
                     attempt: number as u32,
                     outcome,
@@ -261,16 +271,16 @@
                     return Ok(());
                 }
                 let worker = self.probes.remove(which as usize % self.probes.len());
-                let report = Report {
+                let report = LoadReport {
                     free_slots: Some(f64::from(free)),
                     queued: Some(f64::from(queued)),
-                    ..Report::default()
+                    ..LoadReport::default()
                 };
                 let outcome = if ok { Outcome::Ok } else { Outcome::Timeout };
                 if ok {
                     self.words.insert(worker, self.now);
                 }
-                self.event(Event::Probed {
+                self.event(Event::ProbeCompleted {
                     worker: WorkerId(worker),
                     outcome,
                     report: ok.then_some(report),
@@ -279,17 +289,17 @@
             Step::List { worker, membership, restart } => {
                 let worker = u32::from(worker);
                 let membership =
-                    [Membership::Ready, Membership::Draining, Membership::Gone][membership as usize];
-                let entry = self.entry(worker, membership, restart && membership == Membership::Ready);
+                    [WorkerStatus::Ready, WorkerStatus::Draining, WorkerStatus::Gone][membership as usize];
+                let entry = self.entry(worker, membership, restart && membership == WorkerStatus::Ready);
                 self.list.insert(worker, entry.clone());
                 self.stale = false;
-                self.event(Event::Workers { kind: ListKind::Changes, entries: vec![entry] })?;
+                self.event(Event::WorkerList { kind: ListKind::Changes, entries: vec![entry] })?;
             }
             Step::Whole { mask, saved } => {
                 let mut entries = vec![];
                 for worker in 0..6 {
                     let there = mask >> worker & 1 == 1;
-                    let membership = if there { Membership::Ready } else { Membership::Gone };
+                    let membership = if there { WorkerStatus::Ready } else { WorkerStatus::Gone };
                     let entry = self.entry(worker, membership, false);
                     self.list.insert(worker, entry.clone());
                     if there {
@@ -297,29 +307,29 @@
                     }
                 }
                 self.stale &= saved;
-                let kind = if saved { ListKind::Saved } else { ListKind::Full };
-                self.event(Event::Workers { kind, entries })?;
+                let kind = if saved { ListKind::Cached } else { ListKind::Complete };
+                self.event(Event::WorkerList { kind, entries })?;
             }
-            Step::ListFailed if !self.settings.must_subscribe => {}
-            Step::ListFailed => self.event(Event::Workers { kind: ListKind::Failed, entries: vec![] })?,
+            Step::ListFailed if !self.settings.requires_subscription => {}
+            Step::ListFailed => self.event(Event::WorkerList { kind: ListKind::Failed, entries: vec![] })?,
             Step::Stale => {
                 self.stale = true;
-                self.event(Event::Workers { kind: ListKind::Stale, entries: vec![] })?;
+                self.event(Event::WorkerList { kind: ListKind::Stale, entries: vec![] })?;
             }
             Step::Gone { which } => {
                 let id = u64::from(which) % self.next.max(1);
                 if let Some(taken) = self.taken.get_mut(&id) {
                     taken.over = true;
                 }
-                self.event(Event::ClientGone { request: RequestId(id) })?;
+                self.event(Event::ClientDisconnected { request: RequestId(id) })?;
             }
             Step::Pass { ms } => self.pass(self.now + Nanos::from(ms) * MS)?,
             Step::Nonsense { number } => {
                 let request = RequestId(u64::from(number) + 1_000_000);
                 let report = Some(free(f64::NAN));
-                self.event(Event::Probed { worker: WorkerId(500), outcome: Outcome::Ok, report })?;
+                self.event(Event::ProbeCompleted { worker: WorkerId(500), outcome: Outcome::Ok, report })?;
                 self.event(Event::Progress { request, attempt: 1 })?;
-                self.event(Event::ClientGone { request })?;
+                self.event(Event::ClientDisconnected { request })?;
             }
         }
         Ok(())
@@ -328,15 +338,15 @@
 
 fn run(parallel: bool, probing: bool, steps: Vec<Step>) -> Result<(), TestCaseError> {
     let classes = EFFECTS.iter().enumerate().map(|(n, e)| Class {
-        window: 2 * S,
-        late_worth: if n % 2 == 0 { 0.3 } else { 0.0 },
+        deduplication_window: 2 * S,
+        late_weight_share: if n % 2 == 0 { 0.3 } else { 0.0 },
         deadline: 6 * S,
         ..class(*e)
     });
     let mut settings = settings(classes.collect());
-    settings.parallel_tries = parallel;
+    settings.allows_hedging = parallel;
     settings.can_probe = probing;
-    settings.must_subscribe = parallel;
+    settings.requires_subscription = parallel;
     settings.max_attempts = 3;
     settings.dispatchers = 2;
     settings.tenants = [5.0, 50.0, 50.0].iter().map(|q| Tenant { quota_per_s: *q }).collect();
--- a/crates/dispatcher/tests/shares.rs
+++ b/crates/dispatcher/tests/shares.rs
@@ -11,25 +11,31 @@
 /// sends so many times its quota and the others what is usual.
 fn over(times: f64) -> f64 {
     let quotas = [165.0, 136.0, 129.0, 129.0, 101.0, 57.0];
-    let contract = Contract { cold_from: 0.2, cold: 0, fall_multiple: 3.0, fall: 0, must_ask: 0 };
+    let contract = ServiceLimits {
+        slow_start_initial_share: 0.2,
+        slow_start_duration: 0,
+        overload_multiple: 3.0,
+        overload_duration: 0,
+        unsubscribed_list_validity: 0,
+    };
     let settings = Settings {
         dispatchers: 100,
         zone: 0,
         classes: vec![],
         tenants: quotas.map(|quota_per_s| Tenant { quota_per_s }).to_vec(),
-        contract,
-        must_subscribe: false,
+        limits: contract,
+        requires_subscription: false,
         can_probe: true,
-        tells_size: true,
-        reports_slots: true,
-        tells_start: true,
-        progress: 0,
+        reports_registered_size: true,
+        reports_free_slots: true,
+        notifies_job_start: true,
+        progress_interval: 0,
         can_cancel: true,
-        parallel_tries: true,
+        allows_hedging: true,
         max_attempts: 4,
         max_retry_after: 0,
-        connect: 0,
-        resolution: 1,
+        connect_timeout: 0,
+        clock_resolution: 1,
     };
     let (mut all, mut flagged) = (0.0, 0.0);
     for seed in 0..20 {
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -5,8 +5,8 @@
 use std::hash::Hash;
 
 use nickelflow_dispatcher::{
-    Action, Class, Dispatcher, Event, ListKind, Membership, Nanos, Outcome, Request, RequestId, Settings,
-    SettingsError, WorkerEntry, WorkerId,
+    Action, Class, Dispatcher, Event, ListKind, Nanos, Outcome, Request, RequestId, Settings, SettingsError,
+    WorkerEntry, WorkerId, WorkerStatus,
 };
 
 use crate::instances::{Instances, Known};
@@ -47,9 +47,9 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         let terms = Terms {
             classes: settings.classes.clone(),
-            connect: settings.connect,
+            connect: settings.connect_timeout,
             most_attempts: settings.max_attempts,
-            parallel: settings.parallel_tries,
+            parallel: settings.allows_hedging,
         };
         Ok(Engine {
             dispatcher: Dispatcher::new(settings, seed)?,
@@ -109,7 +109,7 @@
     fn take(&mut self, input: Input<J, A, R>) -> Result<(), Misuse> {
         match input {
             Input::Listed { kind, instances } => {
-                if matches!(kind, ListKind::Full | ListKind::Saved) {
+                if matches!(kind, ListKind::Complete | ListKind::Cached) {
                     // What a whole list leaves out has gone.
                     self.instances.none_ready();
                 }
@@ -118,7 +118,7 @@
                     _ => instances.into_iter().map(|instance| self.instances.entry(instance)).collect(),
                 };
                 self.leave(kind, &entries);
-                self.decide(Event::Workers { kind, entries });
+                self.decide(Event::WorkerList { kind, entries });
             }
             Input::Job { id, job } => self.job(id, job)?,
             Input::Gone { id } => {
@@ -126,7 +126,7 @@
                 let Some(&number) = self.numbers.get(&id) else { return Ok(()) };
                 let Some(open) = self.open.get_mut(&number).filter(|open| !open.over) else { return Ok(()) };
                 open.over = true;
-                self.decide(Event::ClientGone { request: RequestId(number) });
+                self.decide(Event::ClientDisconnected { request: RequestId(number) });
                 // What the module has called back is told to end already.
                 if let Some(open) = self.open.get(&number) {
                     open.withdraw(|_| true, &mut self.orders);
@@ -142,10 +142,10 @@
             Input::Ended { id, attempt, end } => self.ended(&id, attempt, end)?,
             Input::Probed { instance, outcome, report } => {
                 self.instances.get(instance).ok_or(Misuse::NoSuchInstance)?;
-                self.decide(Event::Probed { worker: WorkerId(instance), outcome, report });
+                self.decide(Event::ProbeCompleted { worker: WorkerId(instance), outcome, report });
             }
-            Input::Ending { by } => self.decide(Event::Ending { by }),
-            Input::Rules { rules, until } => self.decide(Event::Rules { rules, until }),
+            Input::Ending { by } => self.decide(Event::Shutdown { deadline: by }),
+            Input::Rules { rules, until } => self.decide(Event::Rules { rules, valid_until: until }),
             Input::Wake => {
                 let mut due = false;
                 while self.wakes.peek().is_some_and(|at| at.0 <= self.now) {
@@ -162,13 +162,13 @@
 
     /// What is on its way to instances that leave, or have left, must not begin there.
     fn leave(&mut self, kind: ListKind, entries: &[WorkerEntry]) {
-        let entries = entries.iter().map(|entry| (entry.worker.0, entry.membership == Membership::Ready));
+        let entries = entries.iter().map(|entry| (entry.worker.0, entry.status == WorkerStatus::Ready));
         let ready: HashMap<u32, bool> = entries.collect();
         // One that a list of changes leaves out stays.
         let unlisted = match kind {
             ListKind::Failed => return,
             ListKind::Changes => true,
-            ListKind::Full | ListKind::Saved => false,
+            ListKind::Complete | ListKind::Cached => false,
             // Decided by what may be out of date by now, whoever it goes to: it is decided anew.
             ListKind::Stale => false,
         };
@@ -198,7 +198,7 @@
             memory: job.memory,
             key: job.key,
             time_left: job.deadline.saturating_sub(self.now),
-            retry: job.retry,
+            is_retry: job.retry,
         }));
         Ok(())
     }
@@ -233,7 +233,7 @@
             self.orders.push(Order::Answer { id: open.id.clone(), answer });
         }
         let finished = open.over;
-        self.decide(Event::Outcome { request: RequestId(number), attempt, outcome, finished, report });
+        self.decide(Event::AttemptEnded { request: RequestId(number), attempt, outcome, finished, report });
         self.forget(number);
         Ok(())
     }
@@ -253,7 +253,9 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { request, worker, timeout, by } => self.send(request.0, worker.0, timeout, by),
+            Action::Send { request, worker, timeout, send_by: by } => {
+                self.send(request.0, worker.0, timeout, by)
+            }
             Action::Cancel { request, attempt } => {
                 let Some(open) = self.open.get_mut(&request.0) else { return };
                 let cancelled = open.attempts.get_mut(attempt as usize);
@@ -262,7 +264,7 @@
                     self.orders.push(Order::Cancel { id: open.id.clone(), attempt });
                 }
             }
-            Action::Refuse { request, retry_after } => self.refuse(request.0, retry_after),
+            Action::Reject { request, retry_after } => self.refuse(request.0, retry_after),
             Action::Fail { request } => self.answer(request.0, Answer::Failed),
             Action::Probe { worker } => self.orders.push(Order::Probe { instance: worker.0 }),
             Action::Subscribe => self.orders.push(Order::Subscribe),
@@ -285,7 +287,13 @@
         if over || denial.is_some() {
             open.attempts.push(Attempt::not_made(worker, self.now));
             let (request, outcome, finished) = (RequestId(number), Outcome::NotSent, open.over);
-            self.follow_ups.push_back(Event::Outcome { request, attempt, outcome, finished, report: None });
+            self.follow_ups.push_back(Event::AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                finished,
+                report: None,
+            });
             return;
         }
         open.attempts.push(Attempt::ordered(worker, self.now));
@@ -322,7 +330,7 @@
     /// Answers that to try again is harmless; where that is not so, that nothing is promised.
     fn refuse(&mut self, number: u64, retry_after: Nanos) {
         let Some(open) = self.open.get(&number).filter(|open| !open.over) else { return };
-        let effect = self.class(open.class).map(|class| class.effect);
+        let effect = self.class(open.class).map(|class| class.idempotency);
         let denial = effect.and_then(|effect| permits::refusal(effect, &open.earlier()).err());
         self.violations_found(number, Act::Refuse, denial);
         self.answer(number, if denial.is_some() { Answer::Failed } else { Answer::Refused { retry_after } });
--- a/crates/engine/src/instances.rs
+++ b/crates/engine/src/instances.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use nickelflow_dispatcher::{Membership, Nanos, WorkerEntry, WorkerId};
+use nickelflow_dispatcher::{Nanos, WorkerEntry, WorkerId, WorkerStatus};
 
 /// One line of a list of instances, as the host has it.
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
     pub kind: u32,
     /// The group of instances that drop each other's repeats.
     pub cell: u32,
-    pub membership: Membership,
+    pub membership: WorkerStatus,
     /// Its registered size against others', above 0; 1 where none is told.
     pub weight: f64,
     /// When its process last started, on the engine's clock; `None` is long ago.
@@ -56,8 +56,9 @@
         let address_hash = crate::hash(name.as_bytes());
         let number = self.numbers.get(&name).copied().unwrap_or(self.known.len() as u32);
         let worker = WorkerId(number);
-        let entry = WorkerEntry { worker, address_hash, zone, kind, cell, membership, weight, started };
-        let ready = membership == Membership::Ready;
+        let entry =
+            WorkerEntry { worker, address_hash, zone, kind, cell, status: membership, weight, started };
+        let ready = membership == WorkerStatus::Ready;
         match self.known.get_mut(number as usize) {
             Some(known) => (known.address, known.entry, known.ready) = (address, entry.clone(), ready),
             None => {
--- a/crates/engine/src/interface.rs
+++ b/crates/engine/src/interface.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-use nickelflow_dispatcher::{ListKind, Nanos, Outcome, Report, Rules};
+use nickelflow_dispatcher::{ListKind, LoadReport, Nanos, Outcome, Rules};
 
 use crate::instances::Instance;
 
@@ -33,7 +33,7 @@
     /// an [`Outcome::Error`].
     pub result: Option<R>,
     /// The load report that came with it.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
 }
 
 impl<R> From<Outcome> for End<R> {
@@ -78,7 +78,7 @@
     Probed {
         instance: u32,
         outcome: Outcome,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// The scheduler is to end: all that is open by then is answered at this time, and what still comes too.
     Ending {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -49,8 +49,10 @@
 pub use engine::Engine;
 pub use instances::{Instance, Known};
 pub use interface::{Answer, End, Execute, Input, Job, Misuse, Order};
-pub use nickelflow_dispatcher::{CarefulRules, RuledUse, Rules};
-pub use nickelflow_dispatcher::{ListKind, Membership, Nanos, Outcome, Report, Settings, SettingsError};
+pub use nickelflow_dispatcher::{DegradedRules, Rules, WorkerRestriction};
+pub use nickelflow_dispatcher::{
+    ListKind, LoadReport, Nanos, Outcome, Settings, SettingsError, WorkerStatus,
+};
 
 /// FNV-1a, 64 bits: the same for every scheduler and build, so that all rank the instances for a key alike.
 /// Use it for [`Job::key`].
--- a/crates/engine/src/permits.rs
+++ b/crates/engine/src/permits.rs
@@ -9,7 +9,7 @@
 
 use std::fmt;
 
-use nickelflow_dispatcher::{Class, Effect, Group, Nanos, WorkerEntry};
+use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, Nanos, WorkerEntry};
 
 /// Why something may not be done now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -177,26 +177,27 @@
         return Err(Denial::AttemptsSpent);
     }
     let out = facts.earlier.iter().any(|earlier| earlier.out);
-    if out && !(facts.parallel && facts.class.effect != Effect::Unsafe) {
+    if out && !(facts.parallel && facts.class.idempotency != Idempotency::NonIdempotent) {
         return Err(Denial::AttemptOut);
     }
     let mut ran = facts.earlier.iter().filter(|earlier| earlier.may_have_run).peekable();
     let Some(first) = ran.peek() else { return Ok(Permit(())) };
-    if facts.class.effect == Effect::Unsafe {
+    if facts.class.idempotency == Idempotency::NonIdempotent {
         return Err(Denial::MayHaveRun);
     }
-    if facts.now >= facts.class.send_by(first.decided, facts.connect) {
+    if facts.now >= facts.class.resend_deadline(first.decided, facts.connect) {
         return Err(Denial::WindowOver);
     }
-    match ran.all(|earlier| facts.class.drops_repeat(&earlier.worker, facts.worker)) {
+    match ran.all(|earlier| facts.class.deduplicates(&earlier.worker, facts.worker)) {
         true => Ok(Permit(())),
         false => Err(Denial::OutsideGroup),
     }
 }
 
 /// Whether a request may be answered as refused, which promises that to try again is harmless.
-pub fn refusal(effect: Effect, earlier: &[EarlierAttempt]) -> Result<Permit<()>, Denial> {
-    let dropped_everywhere = matches!(effect, Effect::Safe | Effect::Keyed(Group::All));
+pub fn refusal(effect: Idempotency, earlier: &[EarlierAttempt]) -> Result<Permit<()>, Denial> {
+    let dropped_everywhere =
+        matches!(effect, Idempotency::Idempotent | Idempotency::IdempotentWithKey(DeduplicationScope::All));
     match dropped_everywhere || earlier.iter().all(|earlier| !earlier.may_have_run) {
         true => Ok(Permit(())),
         false => Err(Denial::MayHaveRun),
--- a/crates/engine/tests/permits.rs
+++ b/crates/engine/tests/permits.rs
@@ -1,23 +1,23 @@
 //! The rules in the one place that decides: each fact by itself, and those that cross.
 
-use nickelflow_dispatcher::{Class, Effect, Group, Membership, WorkerEntry, WorkerId};
+use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, WorkerEntry, WorkerId, WorkerStatus};
 use nickelflow_engine::permits::{
     attempt, close, refusal, take, write, AttemptFacts, CloseFacts, Denial, EarlierAttempt, Stop, WriteFacts,
 };
 use rstest::rstest;
 
-const KEYED: Effect = Effect::Keyed(Group::Cell);
+const KEYED: Idempotency = Idempotency::IdempotentWithKey(DeduplicationScope::Cell);
 
-fn class(effect: Effect) -> Class {
+fn class(effect: Idempotency) -> Class {
     Class {
-        effect,
-        window: 1_000,
-        aim: 100,
-        stretch: 1.0,
+        idempotency: effect,
+        deduplication_window: 1_000,
+        latency_objective: 100,
+        latency_stretch: 1.0,
         deadline: 5_000,
-        worth: 1.0,
-        late_worth: 0.0,
-        kind: None,
+        priority_weight: 1.0,
+        late_weight_share: 0.0,
+        required_kind: None,
     }
 }
 
@@ -28,7 +28,7 @@
         zone: 0,
         kind: 0,
         cell,
-        membership: Membership::Ready,
+        status: WorkerStatus::Ready,
         weight: 1.0,
         started: None,
     }
@@ -40,7 +40,7 @@
 }
 
 fn denied(
-    effect: Effect,
+    effect: Idempotency,
     now: u64,
     cell: u32,
     earlier: &[EarlierAttempt],
@@ -62,19 +62,19 @@
 }
 
 #[rstest]
-#[case::first(Effect::Unsafe, 0, 2, &[], None)]
-#[case::unsafe_that_never_ran(Effect::Unsafe, 0, 2, &[earlier(false, false)], None)]
-#[case::unsafe_that_may_have_run(Effect::Unsafe, 0, 1, &[earlier(false, true)], Some(Denial::MayHaveRun))]
-#[case::unsafe_beside_one_that_is_out(Effect::Unsafe, 0, 1, &[earlier(true, true)], Some(Denial::AttemptOut))]
+#[case::first(Idempotency::NonIdempotent, 0, 2, &[], None)]
+#[case::unsafe_that_never_ran(Idempotency::NonIdempotent, 0, 2, &[earlier(false, false)], None)]
+#[case::unsafe_that_may_have_run(Idempotency::NonIdempotent, 0, 1, &[earlier(false, true)], Some(Denial::MayHaveRun))]
+#[case::unsafe_beside_one_that_is_out(Idempotency::NonIdempotent, 0, 1, &[earlier(true, true)], Some(Denial::AttemptOut))]
 #[case::keyed_in_its_group(KEYED, 899, 1, &[earlier(false, true)], None)]
 #[case::keyed_beside_one_that_is_out(KEYED, 0, 1, &[earlier(true, true)], None)]
 #[case::keyed_when_its_window_is_over(KEYED, 900, 1, &[earlier(false, true)], Some(Denial::WindowOver))]
 #[case::keyed_elsewhere(KEYED, 0, 2, &[earlier(false, true)], Some(Denial::OutsideGroup))]
 #[case::keyed_that_never_ran_elsewhere(KEYED, 9_000, 2, &[earlier(false, false)], None)]
-#[case::safe_anywhere_at_any_time(Effect::Safe, 9_000, 2, &[earlier(false, true)], None)]
-#[case::spent(Effect::Safe, 0, 2, &[earlier(false, false), earlier(false, false), earlier(false, false)], Some(Denial::AttemptsSpent))]
+#[case::safe_anywhere_at_any_time(Idempotency::Idempotent, 9_000, 2, &[earlier(false, true)], None)]
+#[case::spent(Idempotency::Idempotent, 0, 2, &[earlier(false, false), earlier(false, false), earlier(false, false)], Some(Denial::AttemptsSpent))]
 fn attempts_follow_what_went_before(
-    #[case] effect: Effect,
+    #[case] effect: Idempotency,
     #[case] now: u64,
     #[case] cell: u32,
     #[case] before: &[EarlierAttempt],
@@ -85,7 +85,10 @@
 
 #[test]
 fn no_attempt_goes_to_a_worker_that_leaves_or_beside_another_where_two_are_not_allowed() {
-    assert_eq!(denied(Effect::Safe, 0, 1, &[], |facts| facts.ready = false), Some(Denial::WorkerLeaves));
+    assert_eq!(
+        denied(Idempotency::Idempotent, 0, 1, &[], |facts| facts.ready = false),
+        Some(Denial::WorkerLeaves)
+    );
     let out = [earlier(true, true)];
     assert_eq!(denied(KEYED, 0, 1, &out, |facts| facts.parallel = false), Some(Denial::AttemptOut));
 }
@@ -97,14 +100,14 @@
 }
 
 #[rstest]
-#[case(Effect::Safe, true, None)]
-#[case(Effect::Keyed(Group::All), true, None)]
+#[case(Idempotency::Idempotent, true, None)]
+#[case(Idempotency::IdempotentWithKey(DeduplicationScope::All), true, None)]
 #[case(KEYED, true, Some(Denial::MayHaveRun))]
 #[case(KEYED, false, None)]
-#[case(Effect::Unsafe, true, Some(Denial::MayHaveRun))]
-#[case(Effect::Unsafe, false, None)]
+#[case(Idempotency::NonIdempotent, true, Some(Denial::MayHaveRun))]
+#[case(Idempotency::NonIdempotent, false, None)]
 fn a_refusal_promises_that_nothing_ran(
-    #[case] effect: Effect,
+    #[case] effect: Idempotency,
     #[case] ran: bool,
     #[case] wanted: Option<Denial>,
 ) {
--- a/crates/engine/tests/promises.rs
+++ b/crates/engine/tests/promises.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{HashMap, HashSet};
 
-use nickelflow_dispatcher::{Class, Contract, Effect, Group};
+use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, ServiceLimits};
 use nickelflow_engine::{
-    hash, Answer, End, Engine, Execute, Input, Instance, Job, ListKind, Membership, Misuse, Nanos, Order,
-    Outcome, Report, Settings,
+    hash, Answer, End, Engine, Execute, Input, Instance, Job, ListKind, LoadReport, Misuse, Nanos, Order,
+    Outcome, Settings, WorkerStatus,
 };
 use proptest::prelude::*;
 
@@ -13,44 +13,44 @@
 
 type Hosted = Engine<u16, (), u32>;
 
-fn settings(effect: Effect) -> Settings {
+fn settings(effect: Idempotency) -> Settings {
     Settings {
         dispatchers: 1,
         zone: 0,
         classes: vec![Class {
-            effect,
-            window: 2_000 * MS,
-            aim: 100 * MS,
-            stretch: 2.0,
+            idempotency: effect,
+            deduplication_window: 2_000 * MS,
+            latency_objective: 100 * MS,
+            latency_stretch: 2.0,
             deadline: 1_000 * MS,
-            worth: 1.0,
-            late_worth: 0.5,
-            kind: None,
+            priority_weight: 1.0,
+            late_weight_share: 0.5,
+            required_kind: None,
         }],
         tenants: vec![],
-        contract: Contract {
-            cold_from: 0.2,
-            cold: 1_000 * MS,
-            fall_multiple: 3.0,
-            fall: 500 * MS,
-            must_ask: 0,
+        limits: ServiceLimits {
+            slow_start_initial_share: 0.2,
+            slow_start_duration: 1_000 * MS,
+            overload_multiple: 3.0,
+            overload_duration: 500 * MS,
+            unsubscribed_list_validity: 0,
         },
-        must_subscribe: true,
+        requires_subscription: true,
         can_probe: true,
-        tells_size: true,
-        reports_slots: true,
-        tells_start: true,
-        progress: 500 * MS,
+        reports_registered_size: true,
+        reports_free_slots: true,
+        notifies_job_start: true,
+        progress_interval: 500 * MS,
         can_cancel: true,
-        parallel_tries: true,
+        allows_hedging: true,
         max_attempts: 3,
         max_retry_after: 500 * MS,
-        connect: 200 * MS,
-        resolution: MS,
+        connect_timeout: 200 * MS,
+        clock_resolution: MS,
     }
 }
 
-fn instance(number: u32, membership: Membership) -> Instance<()> {
+fn instance(number: u32, membership: WorkerStatus) -> Instance<()> {
     let name = format!("i{number}");
     Instance { name, address: (), zone: 0, kind: 0, cell: number / 2, membership, weight: 1.0, started: None }
 }
@@ -59,8 +59,8 @@
     Job { class: 0, tenant: None, slots: 1.0, memory: 0.0, key: Some(hash(b"k")), retry: false, deadline }
 }
 
-fn report(free: f64) -> Option<Report> {
-    Some(Report { free_slots: Some(free), ..Report::default() })
+fn report(free: f64) -> Option<LoadReport> {
+    Some(LoadReport { free_slots: Some(free), ..LoadReport::default() })
 }
 
 /// A host that checks every order against what it has seen.
@@ -78,7 +78,7 @@
 }
 
 impl Host {
-    fn new(effect: Effect) -> Host {
+    fn new(effect: Idempotency) -> Host {
         let mut host = Host {
             engine: Engine::new(settings(effect), 5).expect("sound settings"),
             now: 1_000 * MS,
@@ -90,8 +90,8 @@
             probes: vec![],
             most: 3,
         };
-        let instances = (0..4).map(|n| instance(n, Membership::Ready)).collect();
-        host.give(Input::Listed { kind: ListKind::Full, instances }).expect("a list");
+        let instances = (0..4).map(|n| instance(n, WorkerStatus::Ready)).collect();
+        host.give(Input::Listed { kind: ListKind::Complete, instances }).expect("a list");
         host
     }
 
@@ -173,8 +173,8 @@
         Ok,
         Ok,
         Error,
-        Full,
-        Unusable,
+        Rejected,
+        InvalidJob,
         Timeout,
         ConnectFailed,
         Reset,
@@ -203,7 +203,7 @@
     #[test]
     fn every_job_has_one_answer_and_nothing_stays(
         steps in prop::collection::vec(step(), 1..120),
-        effect in prop::sample::select(vec![Effect::Safe, Effect::Unsafe, Effect::Keyed(Group::Cell)]),
+        effect in prop::sample::select(vec![Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::IdempotentWithKey(DeduplicationScope::Cell)]),
     ) {
         let mut host = Host::new(effect);
         for step in steps {
@@ -248,7 +248,7 @@
                 }
                 Step::Pass(ms) => host.pass(host.now + ms * MS),
                 Step::List(n, ready) => {
-                    let membership = if ready { Membership::Ready } else { Membership::Draining };
+                    let membership = if ready { WorkerStatus::Ready } else { WorkerStatus::Draining };
                     let instances = vec![instance(n, membership)];
                     host.give(Input::Listed { kind: ListKind::Changes, instances }).expect("news");
                 }
@@ -271,7 +271,7 @@
 
 /// A host with one instance of four free slots, and job 1 sent to it.
 fn sent() -> Host {
-    let mut host = Host::new(Effect::Safe);
+    let mut host = Host::new(Idempotency::Idempotent);
     host.pass(host.now + 100 * MS);
     for instance in std::mem::take(&mut host.probes) {
         host.give(Input::Probed { instance, outcome: Outcome::Ok, report: report(4.0) })
@@ -320,7 +320,7 @@
 #[test]
 fn a_clock_at_its_ends_neither_panics_nor_loses_a_job() {
     for start in [0, Nanos::MAX / 2, Nanos::MAX - 10_000 * MS] {
-        let mut engine: Hosted = Engine::new(settings(Effect::Safe), 1).expect("sound settings");
+        let mut engine: Hosted = Engine::new(settings(Idempotency::Idempotent), 1).expect("sound settings");
         let mut orders = vec![];
         engine.handle(start, Input::Job { id: 1, job: job(start + 500 * MS) }, &mut orders).expect("a job");
         while orders.is_empty() {
@@ -340,7 +340,7 @@
 
 #[test]
 fn withdrawals_come_in_the_order_of_their_jobs() {
-    let settings = Settings { can_probe: false, ..settings(Effect::Safe) };
+    let settings = Settings { can_probe: false, ..settings(Idempotency::Idempotent) };
     let mut engine = Engine::<u64, (), ()>::new(settings, 1).expect("sound settings");
     let mut orders = Vec::new();
     let mut listed = |engine: &mut Engine<u64, (), ()>, kind, membership| {
@@ -362,18 +362,18 @@
             .filter_map(|o| if let Order::Withdraw { id, .. } = o { Some(*id) } else { None })
             .collect()
     };
-    let none: Vec<u64> = listed(&mut engine, ListKind::Full, Membership::Ready);
+    let none: Vec<u64> = listed(&mut engine, ListKind::Complete, WorkerStatus::Ready);
     assert!(none.is_empty());
     let job =
         Job { class: 0, tenant: None, slots: 0.01, memory: 0.0, key: None, retry: false, deadline: 1 << 40 };
     for id in 0..40 {
         engine.handle(1, Input::Job { id, job: job.clone() }, &mut Vec::new()).expect("a job");
     }
-    let withdrawn: Vec<u64> = listed(&mut engine, ListKind::Full, Membership::Draining);
+    let withdrawn: Vec<u64> = listed(&mut engine, ListKind::Complete, WorkerStatus::Draining);
     assert!(withdrawn.len() > 10 && withdrawn.is_sorted(), "{withdrawn:?}");
     // So it is with what was decided by a list that may be stale; a call that failed withdraws nothing.
-    let stale: Vec<u64> = listed(&mut engine, ListKind::Stale, Membership::Ready);
+    let stale: Vec<u64> = listed(&mut engine, ListKind::Stale, WorkerStatus::Ready);
     assert_eq!(stale, withdrawn);
-    let failed: Vec<u64> = listed(&mut engine, ListKind::Failed, Membership::Ready);
+    let failed: Vec<u64> = listed(&mut engine, ListKind::Failed, WorkerStatus::Ready);
     assert!(failed.is_empty());
 }
--- a/crates/engine/tests/windows.rs
+++ b/crates/engine/tests/windows.rs
@@ -4,9 +4,9 @@
 
 use std::cell::Cell;
 
-use nickelflow_dispatcher::{Class, Contract, Effect, Group, Settings};
+use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, ServiceLimits, Settings};
 use nickelflow_engine::{
-    Engine, Execute, Input, Instance, Job, ListKind, Membership, Nanos, Order, Outcome, Report,
+    Engine, Execute, Input, Instance, Job, ListKind, LoadReport, Nanos, Order, Outcome, WorkerStatus,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -14,35 +14,41 @@
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
 
-fn settings(window: Nanos, connect: Nanos, group: Group) -> Settings {
+fn settings(window: Nanos, connect: Nanos, group: DeduplicationScope) -> Settings {
     let class = Class {
-        effect: Effect::Keyed(group),
-        window,
-        aim: 20 * S,
-        stretch: 2.0,
+        idempotency: Idempotency::IdempotentWithKey(group),
+        deduplication_window: window,
+        latency_objective: 20 * S,
+        latency_stretch: 2.0,
         deadline: 60 * S,
-        worth: 1.0,
-        late_worth: 0.5,
-        kind: None,
+        priority_weight: 1.0,
+        late_weight_share: 0.5,
+        required_kind: None,
     };
     Settings {
         dispatchers: 1,
         zone: 0,
         classes: vec![class],
         tenants: vec![],
-        contract: Contract { cold_from: 1.0, cold: 0, fall_multiple: 3.0, fall: S, must_ask: 10 * S },
-        must_subscribe: false,
+        limits: ServiceLimits {
+            slow_start_initial_share: 1.0,
+            slow_start_duration: 0,
+            overload_multiple: 3.0,
+            overload_duration: S,
+            unsubscribed_list_validity: 10 * S,
+        },
+        requires_subscription: false,
         can_probe: true,
-        tells_size: true,
-        reports_slots: true,
-        tells_start: false,
-        progress: 0,
+        reports_registered_size: true,
+        reports_free_slots: true,
+        notifies_job_start: false,
+        progress_interval: 0,
         can_cancel: true,
-        parallel_tries: true,
+        allows_hedging: true,
         max_attempts: 8,
         max_retry_after: S,
-        connect,
-        resolution: MS,
+        connect_timeout: connect,
+        clock_resolution: MS,
     }
 }
 
@@ -54,7 +60,7 @@
         zone: (n + shift) / 2 % 2,
         kind: 0,
         cell: (n + shift) / 2,
-        membership: Membership::Ready,
+        membership: WorkerStatus::Ready,
         weight: 1.0,
         started: None,
     };
@@ -96,16 +102,22 @@
 }
 
 /// Plays one job; what of it reached workers whole, in that order.
-fn play(window: Nanos, connect: Nanos, group: Group, ways: &[Way], shift_at: Option<Nanos>) -> Vec<Reached> {
+fn play(
+    window: Nanos,
+    connect: Nanos,
+    group: DeduplicationScope,
+    ways: &[Way],
+    shift_at: Option<Nanos>,
+) -> Vec<Reached> {
     let mut engine: Engine<u32, (), ()> = Engine::new(settings(window, connect, group), 7).expect("settings");
     let (mut now, mut orders, mut reached) = (S, vec![], vec![]);
     let mut later: Vec<(Nanos, Input<u32, (), ()>)> = vec![];
-    later.push((now, Input::Listed { kind: ListKind::Full, instances: instances(6, 0) }));
+    later.push((now, Input::Listed { kind: ListKind::Complete, instances: instances(6, 0) }));
     let job =
         Job { class: 0, tenant: None, slots: 1.0, memory: 0.0, key: None, retry: false, deadline: 60 * S };
     later.push((2 * S, Input::Job { id: 1, job }));
     if let Some(at) = shift_at {
-        later.push((2 * S + at, Input::Listed { kind: ListKind::Full, instances: instances(6, 1) }));
+        later.push((2 * S + at, Input::Listed { kind: ListKind::Complete, instances: instances(6, 1) }));
     }
     let mut ways = ways.iter();
     loop {
@@ -118,7 +130,7 @@
         for order in orders.drain(..) {
             match order {
                 Order::Probe { instance } => {
-                    let report = Some(Report { free_slots: Some(4.0), ..Report::default() });
+                    let report = Some(LoadReport { free_slots: Some(4.0), ..LoadReport::default() });
                     later.push((now + MS, Input::Probed { instance, outcome: Outcome::Ok, report }));
                 }
                 Order::Execute(Execute { id, attempt, instance, until, send_by }) => {
@@ -160,7 +172,11 @@
         TestRng::deterministic_rng(RngAlgorithm::ChaCha),
     );
     let windows = prop_oneof![100..1_000u64, 1_000..8_000u64, 8_000..40_000u64];
-    let groups = prop_oneof![Just(Group::All), Just(Group::Zone), Just(Group::Cell)];
+    let groups = prop_oneof![
+        Just(DeduplicationScope::All),
+        Just(DeduplicationScope::Zone),
+        Just(DeduplicationScope::Cell)
+    ];
     let shift = prop::option::weighted(0.3, 0..4_000u64);
     let case = (windows, 20..1_500u64, groups, prop::collection::vec(way(), 8), shift);
     let (repeats, last) = (Cell::new(0u32), Cell::new(0.0f64));
@@ -173,9 +189,9 @@
                     let part = (repeat.at - first.at) as f64 / window as f64;
                     prop_assert!(part < 1.0, "attempt {} after {part} of the window", repeat.number);
                     let same = match group {
-                        Group::All => true,
-                        Group::Zone => repeat.group.0 == first.group.0,
-                        Group::Cell => repeat.group.1 == first.group.1,
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => repeat.group.0 == first.group.0,
+                        DeduplicationScope::Cell => repeat.group.1 == first.group.1,
                     };
                     prop_assert!(same, "attempt {} left the group", repeat.number);
                     repeats.set(repeats.get() + 1);
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -2,10 +2,10 @@
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use nickelflow_dispatcher::{Class, Contract, Effect, Group, Tenant};
+use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, ServiceLimits, Tenant};
 use nickelflow_engine::{
-    hash, Answer, End, Engine, Execute, Input, Instance as Listed, Job, ListKind, Membership, Nanos, Order,
-    Outcome, Report, Settings,
+    hash, Answer, End, Engine, Execute, Input, Instance as Listed, Job, ListKind, LoadReport, Nanos, Order,
+    Outcome, Settings, WorkerStatus,
 };
 
 use crate::wire::{self, Code, Incoming, Step};
@@ -104,8 +104,8 @@
                 let instances = nodes_list.unwrap_or_default().into_iter().map(listed).collect();
                 let kind = match kind {
                     wire::Kind::Incremental => ListKind::Changes,
-                    wire::Kind::Full => ListKind::Full,
-                    wire::Kind::Saved => ListKind::Saved,
+                    wire::Kind::Full => ListKind::Complete,
+                    wire::Kind::Saved => ListKind::Cached,
                     wire::Kind::Failed => ListKind::Failed,
                 };
                 Input::Listed { kind, instances }
@@ -153,9 +153,9 @@
         kind: node.flavor.unwrap_or(0),
         cell: node.block.unwrap_or(0),
         membership: match node.state {
-            wire::State::Ready => Membership::Ready,
-            wire::State::Draining => Membership::Draining,
-            wire::State::Gone => Membership::Gone,
+            wire::State::Ready => WorkerStatus::Ready,
+            wire::State::Draining => WorkerStatus::Draining,
+            wire::State::Gone => WorkerStatus::Gone,
         },
         weight: node.nominal.unwrap_or(1.0),
         started: node.born_ns.filter(|t| *t > 0),
@@ -166,7 +166,7 @@
     match code {
         Code::Pass => Outcome::Ok,
         Code::Fault => Outcome::Error,
-        Code::NoRoom => Outcome::Full,
+        Code::NoRoom => Outcome::Rejected,
         Code::TooSlow => Outcome::Timeout,
         Code::NoRoute => Outcome::ConnectFailed,
         Code::Cut => Outcome::Reset,
@@ -175,8 +175,8 @@
     }
 }
 
-fn report(health: &wire::Health) -> Report {
-    Report {
+fn report(health: &wire::Health) -> LoadReport {
+    LoadReport {
         free_slots: health.x0,
         free_memory: health.x1,
         queued: health.q,
@@ -191,22 +191,22 @@
         let stretch = specifics.and_then(|s| s.class_stretch.as_ref()?.get(number).copied());
         let kind = specifics.and_then(|s| s.class_kind.as_ref()?.get(number).copied());
         Class {
-            effect: match class.effect {
-                wire::Effect::Safe => Effect::Safe,
-                wire::Effect::Unsafe => Effect::Unsafe,
-                wire::Effect::Keyed => Effect::Keyed(match class.group {
-                    None | Some(wire::Group::Cell) => Group::Cell,
-                    Some(wire::Group::Zone) => Group::Zone,
-                    Some(wire::Group::All) => Group::All,
+            idempotency: match class.effect {
+                wire::Effect::Safe => Idempotency::Idempotent,
+                wire::Effect::Unsafe => Idempotency::NonIdempotent,
+                wire::Effect::Keyed => Idempotency::IdempotentWithKey(match class.group {
+                    None | Some(wire::Group::Cell) => DeduplicationScope::Cell,
+                    Some(wire::Group::Zone) => DeduplicationScope::Zone,
+                    Some(wire::Group::All) => DeduplicationScope::All,
                 }),
             },
-            window: class.window_ns.unwrap_or(0),
-            aim: class.on_time_ns,
-            stretch: class.aim_stretch.or(stretch).unwrap_or(0.0),
+            deduplication_window: class.window_ns.unwrap_or(0),
+            latency_objective: class.on_time_ns,
+            latency_stretch: class.aim_stretch.or(stretch).unwrap_or(0.0),
             deadline: class.deadline_ns,
-            worth: class.importance.unwrap_or(1.0),
-            late_worth: class.late_value.unwrap_or(0.0),
-            kind: kind.and_then(|k| u32::try_from(k).ok()),
+            priority_weight: class.importance.unwrap_or(1.0),
+            late_weight_share: class.late_value.unwrap_or(0.0),
+            required_kind: kind.and_then(|k| u32::try_from(k).ok()),
         }
     };
     let fields = env.load_report.as_ref().and_then(|r| r.fields.as_ref());
@@ -217,25 +217,25 @@
         zone: env.az.unwrap_or(0),
         classes: env.classes.iter().enumerate().map(class).collect(),
         tenants: tenants.iter().map(|t| Tenant { quota_per_s: t.quota_per_s.unwrap_or(0.0) }).collect(),
-        contract: Contract {
-            cold_from: env.contract.cold_from.unwrap_or(1.0),
-            cold: env.contract.cold_ns.unwrap_or(0),
-            fall_multiple: env.contract.fall_multiple.unwrap_or(1.0),
-            fall: env.contract.fall_ns.unwrap_or(1_000_000_000),
-            must_ask: env.contract.must_ask_in_ns.unwrap_or(10_000_000_000),
+        limits: ServiceLimits {
+            slow_start_initial_share: env.contract.cold_from.unwrap_or(1.0),
+            slow_start_duration: env.contract.cold_ns.unwrap_or(0),
+            overload_multiple: env.contract.fall_multiple.unwrap_or(1.0),
+            overload_duration: env.contract.fall_ns.unwrap_or(1_000_000_000),
+            unsubscribed_list_validity: env.contract.must_ask_in_ns.unwrap_or(10_000_000_000),
         },
-        must_subscribe: env.membership_mode.as_deref() == Some("on_request"),
+        requires_subscription: env.membership_mode.as_deref() == Some("on_request"),
         can_probe: env.caps.probing.unwrap_or(false),
-        tells_size: matches!(env.weights.as_deref(), Some("nominal" | "rough")),
-        reports_slots: how.is_some_and(|h| h != "silent")
+        reports_registered_size: matches!(env.weights.as_deref(), Some("nominal" | "rough")),
+        reports_free_slots: how.is_some_and(|h| h != "silent")
             && fields.is_some_and(|f| f.iter().any(|n| n == "x0")),
-        tells_start: specifics.and_then(|s| s.tells_start).unwrap_or(false),
-        progress: specifics.and_then(|s| s.progress_ns).unwrap_or(0),
+        notifies_job_start: specifics.and_then(|s| s.tells_start).unwrap_or(false),
+        progress_interval: specifics.and_then(|s| s.progress_ns).unwrap_or(0),
         can_cancel: env.caps.cancel.unwrap_or(false),
-        parallel_tries: env.caps.parallel_tries.unwrap_or(false),
+        allows_hedging: env.caps.parallel_tries.unwrap_or(false),
         max_attempts: env.caps.most_tries.unwrap_or(1),
         max_retry_after: env.caps.max_retry_after_ns.unwrap_or(0),
-        connect: env.caps.connect_timeout_ns.unwrap_or(1_000_000_000),
-        resolution: env.resolution_ns.unwrap_or(1_000_000),
+        connect_timeout: env.caps.connect_timeout_ns.unwrap_or(1_000_000_000),
+        clock_resolution: env.resolution_ns.unwrap_or(1_000_000),
     })
 }
--- a/crates/simulator/src/policy/frame.rs
+++ b/crates/simulator/src/policy/frame.rs
@@ -5,8 +5,8 @@
 use std::collections::BinaryHeap;
 
 use fnv::FnvHashMap;
-use nickelflow_dispatcher::{Effect, Group, Settings};
-use nickelflow_engine::{hash, Answer, Execute, Job, ListKind, Membership, Nanos, Outcome, Report};
+use nickelflow_dispatcher::{DeduplicationScope, Idempotency, Settings};
+use nickelflow_engine::{hash, Answer, Execute, Job, ListKind, LoadReport, Nanos, Outcome, WorkerStatus};
 use smallvec::SmallVec;
 
 use super::{Input, Order, Place, Policy, Truth};
@@ -25,7 +25,7 @@
     /// Own attempts out to it.
     pub out: u32,
     /// What it last reported, when, and own sends since.
-    pub report: Option<(Nanos, Report)>,
+    pub report: Option<(Nanos, LoadReport)>,
     pub since: u32,
 }
 
@@ -85,7 +85,7 @@
         }
         let mut new = Vec::new();
         for instance in instances {
-            let ready = instance.membership == Membership::Ready;
+            let ready = instance.membership == WorkerStatus::Ready;
             let number = *self.numbers.entry(instance.name.clone()).or_insert(self.seen.len() as u32);
             if number as usize == self.seen.len() {
                 new.push(number);
@@ -120,7 +120,7 @@
     ) -> Option<u32>;
 
     /// An instance has answered a probe.
-    fn probed(&mut self, _now: Nanos, _instance: u32, _report: Option<Report>, _facts: &mut Facts) {}
+    fn probed(&mut self, _now: Nanos, _instance: u32, _report: Option<LoadReport>, _facts: &mut Facts) {}
 }
 
 struct Attempt {
@@ -174,13 +174,14 @@
             && self.ending.is_none_or(|by| now < by);
         let mut cell = None;
         if let Some(first) = ran {
-            match class.effect {
-                Effect::Safe | Effect::Keyed(Group::All | Group::Zone) => {}
-                Effect::Keyed(Group::Cell) => {
+            match class.idempotency {
+                Idempotency::Idempotent
+                | Idempotency::IdempotentWithKey(DeduplicationScope::All | DeduplicationScope::Zone) => {}
+                Idempotency::IdempotentWithKey(DeduplicationScope::Cell) => {
                     cell = self.facts.seen.get(first.instance as usize).map(|seen| seen.cell);
-                    allowed &= now < first.sent + class.window;
+                    allowed &= now < first.sent + class.deduplication_window;
                 }
-                Effect::Unsafe => allowed = false,
+                Idempotency::NonIdempotent => allowed = false,
             }
         }
         let tried: SmallVec<[u32; 4]> = open.attempts.iter().map(|a| a.instance).collect();
@@ -255,7 +256,11 @@
         open.over = true;
         let class = &self.facts.settings.classes[open.job.class as usize];
         let ran = open.attempts.iter().any(|a| a.ran);
-        let harmless = !ran || matches!(class.effect, Effect::Safe | Effect::Keyed(Group::All));
+        let harmless = !ran
+            || matches!(
+                class.idempotency,
+                Idempotency::Idempotent | Idempotency::IdempotentWithKey(DeduplicationScope::All)
+            );
         let retry_after = self.facts.settings.max_retry_after;
         let answer = if harmless { Answer::Refused { retry_after } } else { Answer::Failed };
         orders.push(Order::Answer { id, answer });
--- a/crates/simulator/src/policy/mod.rs
+++ b/crates/simulator/src/policy/mod.rs
@@ -13,7 +13,9 @@
 
 use std::str::FromStr;
 
-use nickelflow_dispatcher::{Class, Contract, Effect, Group, Settings, SettingsError, Tenant};
+use nickelflow_dispatcher::{
+    Class, DeduplicationScope, Idempotency, ServiceLimits, Settings, SettingsError, Tenant,
+};
 use nickelflow_engine::{Engine, Nanos};
 
 use crate::scenario::{Repeats, Scenario};
@@ -157,18 +159,18 @@
 pub fn settings(scenario: &Scenario) -> Settings {
     let rules = &scenario.rules;
     let class = |class: &crate::scenario::Class| Class {
-        effect: match class.repeats {
-            Repeats::Harmless => Effect::Safe,
-            Repeats::Rack => Effect::Keyed(Group::Cell),
-            Repeats::Never => Effect::Unsafe,
+        idempotency: match class.repeats {
+            Repeats::Harmless => Idempotency::Idempotent,
+            Repeats::Rack => Idempotency::IdempotentWithKey(DeduplicationScope::Cell),
+            Repeats::Never => Idempotency::NonIdempotent,
         },
-        window: seconds(class.window_s.0),
-        aim: millis(class.aim_ms.0),
-        stretch: class.stretch.0,
+        deduplication_window: seconds(class.window_s.0),
+        latency_objective: millis(class.aim_ms.0),
+        latency_stretch: class.stretch.0,
         deadline: millis(class.deadline_ms.0),
-        worth: 1.0,
-        late_worth: 0.0,
-        kind: None,
+        priority_weight: 1.0,
+        late_weight_share: 0.0,
+        required_kind: None,
     };
     let shares: f64 = scenario.tenants.iter().map(|t| t.share.0).sum();
     let capacity = scenario.capacity() / scenario.mean_work();
@@ -179,24 +181,24 @@
         zone: 0,
         classes: scenario.classes.iter().map(class).collect(),
         tenants: scenario.tenants.iter().map(tenant).collect(),
-        contract: Contract {
-            cold_from: rules.cold_from.0,
-            cold: seconds(rules.cold_s.0),
-            fall_multiple: rules.fall_multiple.0,
-            fall: seconds(rules.fall_s.0),
-            must_ask: seconds(10.0),
+        limits: ServiceLimits {
+            slow_start_initial_share: rules.cold_from.0,
+            slow_start_duration: seconds(rules.cold_s.0),
+            overload_multiple: rules.fall_multiple.0,
+            overload_duration: seconds(rules.fall_s.0),
+            unsubscribed_list_validity: seconds(10.0),
         },
-        must_subscribe: true,
+        requires_subscription: true,
         can_probe: true,
-        tells_size: true,
-        reports_slots: true,
-        tells_start: scenario.workers.tells_start,
-        progress: millis(scenario.workers.progress_ms.0),
+        reports_registered_size: true,
+        reports_free_slots: true,
+        notifies_job_start: scenario.workers.tells_start,
+        progress_interval: millis(scenario.workers.progress_ms.0),
         can_cancel: true,
-        parallel_tries: rules.parallel,
+        allows_hedging: rules.parallel,
         max_attempts: rules.attempts.0 as u32,
         max_retry_after: millis(scenario.clients.max_retry_after_ms.0),
-        connect: millis(scenario.network.connect_timeout_ms.0),
-        resolution: MS,
+        connect_timeout: millis(scenario.network.connect_timeout_ms.0),
+        clock_resolution: MS,
     }
 }
--- a/crates/simulator/src/policy/oracle.rs
+++ b/crates/simulator/src/policy/oracle.rs
@@ -51,7 +51,7 @@
         }
         // What would be late is turned away: it would only make others late.
         let class = &facts.settings.classes[job.class as usize];
-        let useful = class.aim as f64 + class.stretch * truth.work;
+        let useful = class.latency_objective as f64 + class.latency_stretch * truth.work;
         let left = job.deadline.saturating_sub(now) as f64;
         (best.0 <= useful.min(left)).then(|| facts.any(&best.1)).flatten()
     }
--- a/crates/simulator/src/policy/prequal.rs
+++ b/crates/simulator/src/policy/prequal.rs
@@ -8,7 +8,7 @@
 
 use std::collections::VecDeque;
 
-use nickelflow_engine::{Job, Nanos, Report};
+use nickelflow_engine::{Job, LoadReport, Nanos};
 
 use super::frame::{Facts, Pick};
 use super::Truth;
@@ -98,7 +98,7 @@
         Some(instance)
     }
 
-    fn probed(&mut self, now: Nanos, instance: u32, report: Option<Report>, _: &mut Facts) {
+    fn probed(&mut self, now: Nanos, instance: u32, report: Option<LoadReport>, _: &mut Facts) {
         let Some(report) = report else { return };
         let queued = report.queued.unwrap_or(0.0);
         let held = queued - report.free_slots.unwrap_or(0.0);
--- a/crates/simulator/src/world/schedulers.rs
+++ b/crates/simulator/src/world/schedulers.rs
@@ -1,6 +1,6 @@
 //! Schedulers: what reaches a policy, and what it orders.
 
-use nickelflow_engine::{Answer, End, Execute, Instance, ListKind, Membership, Outcome, Report};
+use nickelflow_engine::{Answer, End, Execute, Instance, ListKind, LoadReport, Outcome, WorkerStatus};
 
 use super::{Attempt, Breaks, Ev, Kept, Probe, State, World};
 use crate::discovery::{Call, Listing};
@@ -18,7 +18,7 @@
     match ending {
         Ending::Served => Outcome::Ok,
         Ending::Error => Outcome::Error,
-        Ending::TurnedAway => Outcome::Full,
+        Ending::TurnedAway => Outcome::Rejected,
         Ending::TimedOut => Outcome::Timeout,
         Ending::NoConnection => Outcome::ConnectFailed,
         Ending::Reset => Outcome::Reset,
@@ -39,7 +39,7 @@
         s.policy = Some(self.kind.make(&self.settings, seed).map_err(|e| e.to_string())?);
         self.note(Record::Booted { scheduler });
         let list: Vec<Listing> = self.discovery.list().collect();
-        self.list(scheduler, ListKind::Saved, list);
+        self.list(scheduler, ListKind::Cached, list);
         Ok(())
     }
 
@@ -352,11 +352,11 @@
 
     pub(super) fn probe_back(&mut self, index: u32) {
         let Some(probe) = self.probes.try_remove(index as usize) else { return };
-        let report = probe.load.map(|load| Report {
+        let report = probe.load.map(|load| LoadReport {
             free_slots: Some(load.free_slots),
             free_memory: Some(load.free_memory),
             queued: Some(load.queued),
-            ..Report::default()
+            ..LoadReport::default()
         });
         let outcome = match (report.is_some(), probe.refused) {
             (true, _) => Outcome::Ok,
@@ -395,9 +395,9 @@
             kind: 0,
             cell: machines[listing.machine as usize].rack,
             membership: match listing.standing {
-                Standing::Ready => Membership::Ready,
-                Standing::Draining => Membership::Draining,
-                Standing::Gone => Membership::Gone,
+                Standing::Ready => WorkerStatus::Ready,
+                Standing::Draining => WorkerStatus::Draining,
+                Standing::Gone => WorkerStatus::Gone,
             },
             weight: workers[listing.machine as usize].make.cores,
             started: listing.started,
@@ -465,7 +465,7 @@
                     });
                 }
                 let list = self.discovery.list().collect();
-                self.list(scheduler, ListKind::Full, list);
+                self.list(scheduler, ListKind::Complete, list);
             }
         }
     }
