--- a/crates/chaos/src/scale_file.rs
+++ b/crates/chaos/src/scale_file.rs
@@ -1,6 +1,6 @@
 //! Scale files: how large a run is, as TOML. All that is wrong with one is told at once, each with its line.
 
-use nickelflow_rollout::{Fault, Reader};
+use nickelflow_rollout::{DocumentError, TomlReader};
 use serde::{Deserialize, Serialize};
 
 /// One size of the fleet after the other, under one load.
@@ -72,8 +72,8 @@
     }
 
     /// Reads a file, or says all that is wrong with it.
-    pub fn parse(text: &str) -> Result<Scale, Vec<Fault>> {
-        let mut reader = Reader::new(text)?;
+    pub fn parse(text: &str) -> Result<Scale, Vec<DocumentError>> {
+        let mut reader = TomlReader::new(text)?;
         let scale = reader.table("", &FIELDS, |file| {
             let sizes = file.named("sizes", MOST_SIZES, |size| {
                 size.only(&["workers"]);
@@ -137,7 +137,7 @@
         reader.end(scale).map_err(|mut faults| {
             // What is wrong is told, and not that it is missing too.
             faults.dedup_by(|later, earlier| {
-                later.what == MISSING && later.line == earlier.line && later.field == earlier.field
+                later.problem == MISSING && later.line == earlier.line && later.field == earlier.field
             });
             faults
         })
--- a/crates/cli/src/rules.rs
+++ b/crates/cli/src/rules.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use nickelflow_control_plane::{prepare, Answer, Call, Command, Peers, Status, Unanswered};
-use nickelflow_rollout::Document;
+use nickelflow_control_plane::{prepare, Command, PeerError, PeerRequest, PeerResponse, Peers, Status};
+use nickelflow_rollout::RulesDocument;
 
 use crate::options::RulesDo;
 use crate::settings::RulesSettings;
@@ -17,11 +17,11 @@
 const AGAIN: Duration = Duration::from_millis(200);
 
 /// Reads a document; all that is wrong is told by file, line and field.
-pub fn check(file: &Path) -> Result<Document, Failed> {
+pub fn check(file: &Path) -> Result<RulesDocument, Failed> {
     let name = file.display();
     let text = std::fs::read_to_string(file)
         .map_err(|e| Failed(status::USAGE, format!("{name}: cannot be read: {e}")))?;
-    Document::parse(&text).map_err(|faults| {
+    RulesDocument::parse(&text).map_err(|faults| {
         let told: Vec<String> = faults.iter().map(|fault| format!("{name}: {fault}")).collect();
         Failed(status::USAGE, told.join("\n"))
     })
@@ -42,7 +42,7 @@
         }
         RulesDo::Found { file } => {
             let document = check(&file)?;
-            let number = done(&peers, || Call::Found(document.clone())).await?;
+            let number = done(&peers, || PeerRequest::Bootstrap(document.clone())).await?;
             format!("founded with proposal {number}\n")
         }
         RulesDo::Show { proposal } => {
@@ -61,12 +61,12 @@
                 Some(base) => base,
                 None => newest(&peers).await?,
             };
-            let command = || Call::Command(Command::Propose { base, document: document.clone() });
+            let command = || PeerRequest::Command(Command::Propose { base, document: document.clone() });
             format!("proposal {}\n", done(&peers, command).await?)
         }
         RulesDo::Rollback { proposal } => {
             let base = newest(&peers).await?;
-            let command = || Call::Command(Command::RollBack { base, to: proposal });
+            let command = || PeerRequest::Command(Command::RollBack { base, to: proposal });
             format!("proposal {}, the same as {proposal}\n", done(&peers, command).await?)
         }
         RulesDo::History => {
@@ -76,18 +76,18 @@
                 let _ = writeln!(
                     all,
                     "{number}: {} schedulers, {tenants} tenants limited, {workers} workers set apart, list {}",
-                    document.schedulers, document.list
+                    document.schedulers, document.list_version
                 );
                 all
             })
         }
         RulesDo::Status => return state(&peers).await,
         RulesDo::Unseat { name } => {
-            done(&peers, || Call::Command(Command::Leave(name.clone()))).await?;
+            done(&peers, || PeerRequest::Command(Command::Leave(name.clone()))).await?;
             format!("{name} has no seat any more\n")
         }
         RulesDo::Voters { ids } => {
-            done(&peers, || Call::Voters(ids.iter().copied().collect())).await?;
+            done(&peers, || PeerRequest::ChangeVoters(ids.iter().copied().collect())).await?;
             format!("{} voters\n", ids.len())
         }
     };
@@ -95,20 +95,22 @@
 }
 
 /// Asks the voters in turn until one has answered that leads, or all time for that is over.
-async fn lead(peers: &Peers, call: impl Fn() -> Call) -> Result<Answer, Failed> {
+async fn lead(peers: &Peers, call: impl Fn() -> PeerRequest) -> Result<PeerResponse, Failed> {
     let begun = Instant::now();
     let mut why;
     loop {
         why = String::new();
         for address in peers.voters().values() {
             match peers.ask(address, &call(), ANSWER).await {
-                Ok(Answer::No(Unanswered::Refused(why))) => {
+                Ok(PeerResponse::Error(PeerError::Rejected(why))) => {
                     return Err(Failed(status::REFUSED, why.to_string()))
                 }
-                Ok(Answer::No(
-                    no @ (Unanswered::NotFounded | Unanswered::Founded | Unanswered::TooLarge),
+                Ok(PeerResponse::Error(
+                    no @ (PeerError::NotBootstrapped
+                    | PeerError::AlreadyBootstrapped
+                    | PeerError::DocumentTooLarge),
                 )) => return Err(Failed(status::REFUSED, no.to_string())),
-                Ok(Answer::No(no)) => drop(writeln!(why, "{address}: {no}")),
+                Ok(PeerResponse::Error(no)) => drop(writeln!(why, "{address}: {no}")),
                 Ok(answer) => return Ok(answer),
                 Err(failed) => drop(writeln!(why, "{failed}")),
             }
@@ -124,16 +126,16 @@
     Failed(status::FAILED, "a voter has answered something else".to_owned())
 }
 
-async fn done(peers: &Peers, call: impl Fn() -> Call) -> Result<u64, Failed> {
+async fn done(peers: &Peers, call: impl Fn() -> PeerRequest) -> Result<u64, Failed> {
     match lead(peers, call).await? {
-        Answer::Done(number) => Ok(number),
+        PeerResponse::Applied(number) => Ok(number),
         _ => Err(odd()),
     }
 }
 
-async fn history(peers: &Peers) -> Result<Vec<(u64, Document)>, Failed> {
-    match lead(peers, || Call::History).await? {
-        Answer::History(kept) => Ok(kept),
+async fn history(peers: &Peers) -> Result<Vec<(u64, RulesDocument)>, Failed> {
+    match lead(peers, || PeerRequest::History).await? {
+        PeerResponse::History(kept) => Ok(kept),
         _ => Err(odd()),
     }
 }
@@ -146,8 +148,8 @@
 async fn state(peers: &Peers) -> Result<String, Failed> {
     let (mut all, mut reached) = (String::new(), 0);
     for (id, address) in peers.voters() {
-        match peers.ask(address, &Call::Status, ANSWER).await {
-            Ok(Answer::Status(status)) => {
+        match peers.ask(address, &PeerRequest::Status, ANSWER).await {
+            Ok(PeerResponse::Status(status)) => {
                 reached += 1;
                 voter(&mut all, *id, &status);
             }
@@ -162,8 +164,18 @@
 }
 
 fn voter(all: &mut String, id: u64, status: &Status) {
-    let Status { name, build, version, left_ms, careful_ms, bound_ms, not_voting, leader, leads, .. } =
-        status;
+    let Status {
+        name,
+        build,
+        version,
+        left_ms,
+        degraded_ms: careful_ms,
+        max_overlap_ms: bound_ms,
+        not_voting_reason: not_voting,
+        leader,
+        leader_status: leads,
+        ..
+    } = status;
     let acts = match version {
         None => "acts on nothing yet".to_owned(),
         Some(version) if *left_ms > 0 => format!("acts on {version}, {left_ms} ms of its lease left"),
@@ -176,16 +188,16 @@
         (None, None) => drop(writeln!(all, "  knows nobody that leads")),
     }
     let Some(lead) = leads else { return };
-    let (in_force, newest, coming) = (lead.in_force, lead.newest, lead.coming);
+    let (in_force, newest, coming) = (lead.active, lead.newest, lead.pending_steps);
     let _ = writeln!(
         all,
         "  in force {in_force}, proposal {newest} is the newest, {coming} steps to come; T {bound_ms} ms"
     );
-    if let Some(waits) = &lead.waits {
+    if let Some(waits) = &lead.blocked_by {
         let _ = writeln!(all, "  the next step waits: {waits}");
     }
     for holder in &lead.holders {
-        let has = holder.has.map_or("nothing heard".to_owned(), |has| format!("has {has}"));
+        let has = holder.acknowledged.map_or("nothing heard".to_owned(), |has| format!("has {has}"));
         let left = match holder.left_ms {
             0 => "its lease is over".to_owned(),
             left => format!("its lease is over in {left} ms at the latest"),
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use nickelflow_rollout::Terms;
+use nickelflow_rollout::LeaseConfig;
 use serde::Deserialize;
 
 use crate::{status, Failed};
@@ -91,18 +91,21 @@
         }
     }
 
-    pub fn terms(&self) -> Result<Terms, String> {
-        let terms =
-            Terms::new(self.lease_ms * 1_000_000, self.renewal_ms.min(LONGEST_MS) * 1_000_000, self.drift);
+    pub fn terms(&self) -> Result<LeaseConfig, String> {
+        let terms = LeaseConfig::new(
+            self.lease_ms * 1_000_000,
+            self.renewal_ms.min(LONGEST_MS) * 1_000_000,
+            self.drift,
+        );
         terms.ok_or_else(|| {
             "renewal_ms: must be above 0 and below lease_ms, and drift from 0 to 0.1".to_owned()
         })
     }
 
-    pub fn honoured(&self) -> Result<Terms, String> {
+    pub fn honoured(&self) -> Result<LeaseConfig, String> {
         let terms = self.terms()?;
         let longer = self.drill_honour_ms.map(|ms| ms.min(LONGEST_MS) * 1_000_000);
-        Ok(Terms { lease: longer.unwrap_or(terms.lease), ..terms })
+        Ok(LeaseConfig { duration: longer.unwrap_or(terms.duration), ..terms })
     }
 
     pub fn voters(&self) -> Result<BTreeMap<u64, String>, String> {
--- a/crates/cli/tests/files.rs
+++ b/crates/cli/tests/files.rs
@@ -19,7 +19,7 @@
     let rules = Settings::load(&file).expect("a sound example").rules.expect("rules");
     assert_eq!(rules.voters().expect("voters").len(), 3);
     // T as the page gives it.
-    assert_eq!(rules.terms().expect("terms").bound() / 1_000_000, 2_020);
+    assert_eq!(rules.terms().expect("terms").max_overlap() / 1_000_000, 2_020);
 }
 
 const SOUND: &str =
--- a/crates/control-plane/src/holding.rs
+++ b/crates/control-plane/src/holding.rs
@@ -3,34 +3,40 @@
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::Duration;
 
-use nickelflow_rollout::{Grant, Holder, InForce, Terms, Version};
+use nickelflow_rollout::{LeaseConfig, LeaseGrant, LeaseHolder, LeaseState, Version};
 use tokio::sync::watch;
 use tracing::{info, warn};
 
 use crate::chamber::Chamber;
-use crate::messages::{Answer, Call, Command, Unanswered};
+use crate::messages::{Command, PeerError, PeerRequest, PeerResponse};
 use crate::peers::Peers;
-use crate::{Clock, Told};
+use crate::{ActiveRules, Clock};
 
 /// After a voter that did not grant the next one is asked this soon, at least: all holders lose their leases together.
 const AGAIN: Duration = Duration::from_millis(20);
 
 pub struct Holding {
     name: String,
-    terms: Terms,
+    terms: LeaseConfig,
     clock: Clock,
     peers: Peers,
     /// Where this process votes itself.
     own: OnceLock<(u64, Arc<Chamber>)>,
-    holder: Mutex<Holder>,
-    told: watch::Sender<Option<Told>>,
+    holder: Mutex<LeaseHolder>,
+    told: watch::Sender<Option<ActiveRules>>,
     /// The voter that granted last, or is said to lead.
     leader: Mutex<Option<u64>>,
 }
 
 impl Holding {
-    pub fn new(name: String, terms: Terms, clock: Clock, peers: Peers, honoured: Terms) -> Arc<Holding> {
-        let holder = Mutex::new(Holder::new(honoured, fastrand::u64(..)));
+    pub fn new(
+        name: String,
+        terms: LeaseConfig,
+        clock: Clock,
+        peers: Peers,
+        honoured: LeaseConfig,
+    ) -> Arc<Holding> {
+        let holder = Mutex::new(LeaseHolder::new(honoured, fastrand::u64(..)));
         let told = watch::channel(None).0;
         let (own, leader) = (OnceLock::new(), Mutex::new(None));
         Arc::new(Holding { name, terms, clock, peers, own, holder, told, leader })
@@ -41,11 +47,11 @@
         let _ = self.own.set((id, chamber));
     }
 
-    pub fn told(&self) -> watch::Receiver<Option<Told>> {
+    pub fn told(&self) -> watch::Receiver<Option<ActiveRules>> {
         self.told.subscribe()
     }
 
-    fn holder(&self) -> MutexGuard<'_, Holder> {
+    fn holder(&self) -> MutexGuard<'_, LeaseHolder> {
         self.holder.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -53,9 +59,9 @@
     pub fn standing(&self) -> (Option<Version>, u64, u64) {
         let (holder, now) = (self.holder(), self.clock.now());
         let (version, careful) = match holder.in_force(now) {
-            InForce::Full(version, _) => (Some(version), 0),
-            InForce::Careful(version, _) => (Some(version), now - holder.until()),
-            InForce::Nothing => (None, 0),
+            LeaseState::Active(version, _) => (Some(version), 0),
+            LeaseState::Lapsed(version, _) => (Some(version), now - holder.until()),
+            LeaseState::NeverGranted => (None, 0),
         };
         (version, holder.left(now) / 1_000_000, careful / 1_000_000)
     }
@@ -63,34 +69,38 @@
     /// Asks again and again, one request after the other: each has the time of a renewal, and where a voter does not
     /// grant, another is asked soon.
     pub async fn renewing(self: Arc<Self>) {
-        let limit = Duration::from_nanos(self.terms.renewal);
+        let limit = Duration::from_nanos(self.terms.renewal_interval);
         loop {
             let request = self.holder().ask(self.clock.now());
             let asked = tokio::time::Instant::now();
-            let call = Call::Ask { holder: self.name.clone(), lease: self.terms.lease, request };
+            let call = PeerRequest::RequestLease {
+                holder: self.name.clone(),
+                lease_duration: self.terms.duration,
+                request,
+            };
             match self.lead(&call, limit).await {
-                Ok(Answer::Granted(grant)) => {
+                Ok(PeerResponse::LeaseGranted(grant)) => {
                     self.take(*grant);
                     // Not all at the same moment, though all may have begun together.
                     tokio::time::sleep_until(asked + limit.mul_f64(0.75 + 0.25 * fastrand::f64())).await;
                 }
-                Ok(Answer::No(Unanswered::NameTaken)) => {
+                Ok(PeerResponse::Error(PeerError::NameTaken)) => {
                     warn!(
                         name = self.name,
                         "another process has this scheduler's name: it gets no lease any more"
                     );
                     tokio::time::sleep(limit).await;
                 }
-                Ok(Answer::No(why @ Unanswered::OtherTerms(_))) => {
+                Ok(PeerResponse::Error(why @ PeerError::LeaseMismatch(_))) => {
                     warn!(%why, "no lease for this scheduler");
                     tokio::time::sleep(limit).await;
                 }
                 // No seat, or no rules: neither changes soon.
-                Ok(Answer::No(Unanswered::Refused(_) | Unanswered::NotFounded)) => {
+                Ok(PeerResponse::Error(PeerError::Rejected(_) | PeerError::NotBootstrapped)) => {
                     tokio::time::sleep(limit).await;
                 }
-                Ok(Answer::No(Unanswered::NotLeading(Some(_)))) => tokio::time::sleep(AGAIN).await,
-                Ok(Answer::No(_)) | Ok(_) | Err(_) => {
+                Ok(PeerResponse::Error(PeerError::NotLeader(Some(_)))) => tokio::time::sleep(AGAIN).await,
+                Ok(PeerResponse::Error(_)) | Ok(_) | Err(_) => {
                     let pause = AGAIN + limit.mul_f64(0.25 * fastrand::f64());
                     tokio::time::sleep(pause).await;
                 }
@@ -98,28 +108,28 @@
         }
     }
 
-    fn take(&self, grant: Grant) {
+    fn take(&self, grant: LeaseGrant) {
         let mut holder = self.holder();
         let now = self.clock.now();
         let new = holder.granted(now, grant);
         let until = self.clock.instant(holder.until());
         let told = match (holder.in_force(now), new) {
-            (InForce::Full(version, step), true) => {
+            (LeaseState::Active(version, step), true) => {
                 info!(%version, "rules in force");
-                Some(Told { version, step: Arc::new(step.clone()), until })
+                Some(ActiveRules { version, step: Arc::new(step.clone()), lease_expiry: until })
             }
             _ => None,
         };
         drop(holder);
         self.told.send_modify(|old| match (told, old) {
             (Some(told), old) => *old = Some(told),
-            (None, Some(old)) => old.until = until,
+            (None, Some(old)) => old.lease_expiry = until,
             (None, None) => {}
         });
     }
 
     /// Asks the voter that leads, as far as is known; else any.
-    pub async fn lead(&self, call: &Call, limit: Duration) -> Result<Answer, String> {
+    pub async fn lead(&self, call: &PeerRequest, limit: Duration) -> Result<PeerResponse, String> {
         let known = *self.leader.lock().unwrap_or_else(PoisonError::into_inner);
         let voters: Vec<u64> = self.peers.voters().keys().copied().collect();
         let Some(voter) = known.or_else(|| fastrand::choice(&voters).copied()) else {
@@ -128,13 +138,15 @@
         let late = |_| Err(format!("voter {voter}: no answer within {} ms", limit.as_millis()));
         let answer = match (self.own.get(), call) {
             // Not over its own listener, but with no more time than over another's.
-            (Some((id, chamber)), Call::Ask { holder, request, .. }) if *id == voter => {
+            (Some((id, chamber)), PeerRequest::RequestLease { holder, request, .. }) if *id == voter => {
                 let asked = tokio::time::timeout(limit, chamber.ask(holder, *request)).await;
-                asked.map_or_else(late, |answer| Ok(answer.unwrap_or_else(Answer::No)))
+                asked.map_or_else(late, |answer| Ok(answer.unwrap_or_else(PeerResponse::Error)))
             }
-            (Some((id, chamber)), Call::Command(command)) if *id == voter => {
+            (Some((id, chamber)), PeerRequest::Command(command)) if *id == voter => {
                 let asked = tokio::time::timeout(limit, chamber.command(command.clone())).await;
-                asked.map_or_else(late, |answer| Ok(answer.map_or_else(Answer::No, Answer::Done)))
+                asked.map_or_else(late, |answer| {
+                    Ok(answer.map_or_else(PeerResponse::Error, PeerResponse::Applied))
+                })
             }
             _ => match self.peers.voters().get(&voter) {
                 Some(address) => self.peers.ask(address, call, limit).await,
@@ -142,11 +154,11 @@
             },
         };
         let leader = match &answer {
-            Ok(Answer::No(Unanswered::NotLeading(leader))) => leader.filter(|leader| *leader != voter),
-            Ok(Answer::No(Unanswered::Refused(_) | Unanswered::NameTaken | Unanswered::NotFounded)) => {
-                Some(voter)
-            }
-            Ok(Answer::No(_)) | Err(_) => None,
+            Ok(PeerResponse::Error(PeerError::NotLeader(leader))) => leader.filter(|leader| *leader != voter),
+            Ok(PeerResponse::Error(
+                PeerError::Rejected(_) | PeerError::NameTaken | PeerError::NotBootstrapped,
+            )) => Some(voter),
+            Ok(PeerResponse::Error(_)) | Err(_) => None,
             Ok(_) => Some(voter),
         };
         *self.leader.lock().unwrap_or_else(PoisonError::into_inner) = leader;
@@ -156,9 +168,9 @@
     /// Gives the seat up; whoever calls acts on nothing any more. Tries within `limit`, each voter for `attempt`. Not
     /// heard, the seat stays taken until the operator takes it, or the scheduler comes again under its name.
     pub async fn leave(&self, limit: Duration, attempt: Duration) {
-        let call = Call::Command(Command::Leave(self.name.clone()));
+        let call = PeerRequest::Command(Command::Leave(self.name.clone()));
         let left = tokio::time::timeout(limit, async {
-            while !matches!(self.lead(&call, attempt).await, Ok(Answer::Done(_))) {
+            while !matches!(self.lead(&call, attempt).await, Ok(PeerResponse::Applied(_))) {
                 tokio::time::sleep(AGAIN).await;
             }
         });
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -18,22 +18,22 @@
 mod state;
 mod store;
 
-pub use messages::{Answer, Call, Command, HolderStatus, Lead, Status, Unanswered};
-pub use node::{start, Council, Settings, Voting};
+pub use messages::{Command, HolderStatus, LeaderStatus, PeerError, PeerRequest, PeerResponse, Status};
+pub use node::{start, ControlPlane, ControlPlaneConfig, VoterConfig};
 pub use peers::{Address, Peers};
 pub use store::prepare;
 
 use std::sync::Arc;
 use std::time::Instant;
 
-use nickelflow_rollout::{Step, Version};
+use nickelflow_rollout::{RulesStep, Version};
 
 /// What a scheduler was last granted: in full until then, and after that only by its careful rules.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct ActiveRules {
     pub version: Version,
-    pub step: Arc<Step>,
-    pub until: Instant,
+    pub step: Arc<RulesStep>,
+    pub lease_expiry: Instant,
 }
 
 /// Nanoseconds of this process's monotonic clock, which goes on while the process is stopped.
--- a/crates/control-plane/src/node.rs
+++ b/crates/control-plane/src/node.rs
@@ -14,7 +14,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use nickelflow_rollout::Terms;
+use nickelflow_rollout::LeaseConfig;
 use openraft::error::{ClientWriteError, RaftError};
 use openraft::{Config, EmptyNode, SnapshotPolicy};
 use tokio::sync::{oneshot, watch, Semaphore};
@@ -22,13 +22,13 @@
 
 use crate::chamber::{small, Chamber};
 use crate::holding::Holding;
-use crate::messages::{Answer, Call, Command, Status, Unanswered};
-use crate::messages::{ALL_ELSE, BETWEEN_VOTERS, FORMAT, MOST_BYTES};
+use crate::messages::{Command, PeerError, PeerRequest, PeerResponse, Status};
+use crate::messages::{ALL_ELSE, BETWEEN_VOTERS, FORMAT, MAX_MESSAGE_BYTES};
 use crate::peers::{Address, Peers, FLEET, FORMAT_HEADER};
 use crate::raft::Raft;
 use crate::state::State;
 use crate::store::{NotOpened, Store};
-use crate::{Clock, Told};
+use crate::{ActiveRules, Clock};
 
 /// Connections from others at a time; more wait in the listener.
 const CONNECTIONS: usize = 1_024;
@@ -47,38 +47,38 @@
 
 /// What a process is told of its fleet.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct ControlPlaneConfig {
     pub fleet: String,
     /// Its own name, by which it has a seat.
     pub name: String,
     /// All voters by number, where this process reaches them.
     pub voters: BTreeMap<u64, Address>,
-    pub voting: Option<Voting>,
-    pub terms: Terms,
+    pub voter: Option<VoterConfig>,
+    pub lease: LeaseConfig,
     /// How this process takes its own leases to hold: the same but in drills, which show that it must be.
-    pub honoured: Terms,
+    pub local_lease: LeaseConfig,
     pub build: String,
 }
 
 /// A voter's own.
 #[derive(Clone, Debug)]
-pub struct Voting {
+pub struct VoterConfig {
     pub id: u64,
-    pub data: PathBuf,
+    pub data_dir: PathBuf,
 }
 
 /// A running process's part in the agreement.
-pub struct Council {
+pub struct ControlPlane {
     /// What it may act on; `None` before its first lease.
-    pub told: watch::Receiver<Option<Told>>,
+    pub active_rules: watch::Receiver<Option<ActiveRules>>,
     end: Option<oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Council {
+impl ControlPlane {
     /// Gives the seat up and ends. To be called when nothing is sent any more. Blocks for three seconds at most, which it
     /// takes where no majority answers.
-    pub fn end(mut self) {
+    pub fn shut_down(mut self) {
         drop(self.end.take());
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -87,7 +87,7 @@
 }
 
 /// Begins, on a thread of its own, and answers others on this listener.
-pub fn start(settings: Settings, listener: TcpListener) -> Result<Council, String> {
+pub fn start(settings: ControlPlaneConfig, listener: TcpListener) -> Result<ControlPlane, String> {
     listener.set_nonblocking(true).map_err(|e| format!("listener: {e}"))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
@@ -115,7 +115,7 @@
     let thread = std::thread::Builder::new().name("rules".to_owned()).spawn(work);
     let thread = thread.map_err(|e| format!("thread: {e}"))?;
     let told = told.recv().map_err(|_| "the thread of the rules has ended".to_owned())?;
-    Ok(Council { told, end: Some(end), thread: Some(thread) })
+    Ok(ControlPlane { active_rules: told, end: Some(end), thread: Some(thread) })
 }
 
 type VotersFailed = RaftError<u64, ClientWriteError<u64, EmptyNode>>;
@@ -130,7 +130,7 @@
 const OPEN_AGAIN: Duration = Duration::from_secs(1);
 
 struct Node {
-    settings: Settings,
+    settings: ControlPlaneConfig,
     holding: Arc<Holding>,
     /// Or why it does not vote, yet or at all.
     voter: RwLock<Result<Arc<Vote>, String>>,
@@ -141,12 +141,16 @@
 }
 
 impl Node {
-    async fn open(settings: Settings) -> Arc<Node> {
+    async fn open(settings: ControlPlaneConfig) -> Arc<Node> {
         let clock = Clock::start();
         let peers = Peers::new(settings.fleet.clone(), settings.voters.clone());
-        let (terms, honoured, name) = (settings.terms, settings.honoured, settings.name.clone());
+        let (terms, honoured, name) = (settings.lease, settings.local_lease, settings.name.clone());
         let holding = Holding::new(name, terms, clock, peers.clone(), honoured);
-        info!(fleet = settings.fleet, bound_ms = settings.terms.bound() / 1_000_000, "rules with versions");
+        info!(
+            fleet = settings.fleet,
+            bound_ms = settings.lease.max_overlap() / 1_000_000,
+            "rules with versions"
+        );
         let node = Arc::new(Node {
             settings,
             holding,
@@ -155,7 +159,7 @@
             between_voters: Semaphore::new(MESSAGES),
             ending: AtomicBool::new(false),
         });
-        if let Some(voting) = node.settings.voting.clone() {
+        if let Some(voting) = node.settings.voter.clone() {
             if let Err(NotOpened::Later(_)) = node.begin_to_vote(&voting, peers.clone(), clock).await {
                 tokio::spawn(node.clone().voting_later(voting, peers, clock));
             }
@@ -168,7 +172,7 @@
     }
 
     /// Opens the voter's folder, and votes from now on if it can.
-    async fn begin_to_vote(&self, voting: &Voting, peers: Peers, clock: Clock) -> Result<(), NotOpened> {
+    async fn begin_to_vote(&self, voting: &VoterConfig, peers: Peers, clock: Clock) -> Result<(), NotOpened> {
         let begun = vote(&self.settings, voting, peers, clock).await;
         let (voter, opened) = match begun {
             Ok(vote) => {
@@ -186,7 +190,7 @@
     }
 
     /// Tries again to open the folder, until it can be opened or never will be.
-    async fn voting_later(self: Arc<Self>, voting: Voting, peers: Peers, clock: Clock) {
+    async fn voting_later(self: Arc<Self>, voting: VoterConfig, peers: Peers, clock: Clock) {
         loop {
             tokio::time::sleep(OPEN_AGAIN).await;
             match self.begin_to_vote(&voting, peers.clone(), clock).await {
@@ -241,25 +245,25 @@
         if said(FORMAT_HEADER) != FORMAT.as_bytes() {
             return no(StatusCode::UPGRADE_REQUIRED, "this process speaks format 1");
         }
-        if request.body().size_hint().lower() > MOST_BYTES as u64 {
+        if request.body().size_hint().lower() > MAX_MESSAGE_BYTES as u64 {
             return no(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large");
         }
         let Ok(_room) = room.acquire().await else {
             return no(StatusCode::SERVICE_UNAVAILABLE, "ending");
         };
-        let body = Limited::new(request.into_body(), MOST_BYTES).collect();
+        let body = Limited::new(request.into_body(), MAX_MESSAGE_BYTES).collect();
         let body = match tokio::time::timeout(BODY, body).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(_)) => return no(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large, or broke off"),
             Err(_) => return no(StatusCode::REQUEST_TIMEOUT, "the body came too slowly"),
         };
-        let call = postcard::from_bytes::<Call>(&body).ok().filter(|call| call.path() == path);
+        let call = postcard::from_bytes::<PeerRequest>(&body).ok().filter(|call| call.path() == path);
         let Some(call) = call else {
             return no(StatusCode::BAD_REQUEST, "the body cannot be read");
         };
         let answer = match tokio::time::timeout(BODY, self.answer(call)).await {
             Ok(answer) => answer,
-            Err(_) => Answer::No(Unanswered::NoMajority("no answer in time".to_owned())),
+            Err(_) => PeerResponse::Error(PeerError::NoQuorum("no answer in time".to_owned())),
         };
         match postcard::to_stdvec(&answer) {
             Ok(bytes) => Ok(Response::new(Full::new(Bytes::from(bytes)))),
@@ -267,52 +271,66 @@
         }
     }
 
-    async fn answer(&self, call: Call) -> Answer {
+    async fn answer(&self, call: PeerRequest) -> PeerResponse {
         if self.ending.load(Ordering::Relaxed) {
-            return Answer::No(Unanswered::NotVoting("it ends".to_owned()));
+            return PeerResponse::Error(PeerError::NotVoter("it ends".to_owned()));
         }
-        if let Call::Status = call {
-            return Answer::Status(Box::new(self.status()));
+        if let PeerRequest::Status = call {
+            return PeerResponse::Status(Box::new(self.status()));
         }
         let vote = match self.voter() {
             Ok(vote) => vote,
-            Err(why) => return Answer::No(Unanswered::NotVoting(why)),
+            Err(why) => return PeerResponse::Error(PeerError::NotVoter(why)),
         };
         match call {
-            Call::Append(rpc) => Answer::Append(vote.raft.append_entries(rpc).await),
-            Call::Vote(rpc) => Answer::Vote(vote.raft.vote(rpc).await),
-            Call::Snapshot(rpc) => Answer::Snapshot(vote.raft.install_snapshot(rpc).await),
-            Call::Ask { lease, .. } if lease != self.settings.terms.lease => {
-                Answer::No(Unanswered::OtherTerms(self.settings.terms.lease / 1_000_000))
+            PeerRequest::AppendEntries(rpc) => {
+                PeerResponse::AppendEntries(vote.raft.append_entries(rpc).await)
             }
-            Call::Ask { holder, request, .. } => {
-                vote.chamber.ask(&holder, request).await.unwrap_or_else(Answer::No)
+            PeerRequest::Vote(rpc) => PeerResponse::Vote(vote.raft.vote(rpc).await),
+            PeerRequest::InstallSnapshot(rpc) => {
+                PeerResponse::InstallSnapshot(vote.raft.install_snapshot(rpc).await)
             }
-            Call::Command(command) => {
-                vote.chamber.command(command).await.map_or_else(Answer::No, Answer::Done)
+            PeerRequest::RequestLease { lease_duration: lease, .. }
+                if lease != self.settings.lease.duration =>
+            {
+                PeerResponse::Error(PeerError::LeaseMismatch(self.settings.lease.duration / 1_000_000))
             }
-            Call::Found(document) => self.found(&vote, document).await.map_or_else(Answer::No, Answer::Done),
-            Call::Voters(ids) => match change_voters(&vote, ids).await {
-                Ok(()) => Answer::Done(0),
-                Err(e) => Answer::No(Unanswered::NoMajority(e.to_string())),
+            PeerRequest::RequestLease { holder, request, .. } => {
+                vote.chamber.ask(&holder, request).await.unwrap_or_else(PeerResponse::Error)
+            }
+            PeerRequest::Command(command) => {
+                vote.chamber.command(command).await.map_or_else(PeerResponse::Error, PeerResponse::Applied)
+            }
+            PeerRequest::Bootstrap(document) => {
+                self.found(&vote, document).await.map_or_else(PeerResponse::Error, PeerResponse::Applied)
+            }
+            PeerRequest::ChangeVoters(ids) => match change_voters(&vote, ids).await {
+                Ok(()) => PeerResponse::Applied(0),
+                Err(e) => PeerResponse::Error(PeerError::NoQuorum(e.to_string())),
             },
-            Call::History => vote.chamber.history().await.map_or_else(Answer::No, Answer::History),
-            Call::Status => Answer::Status(Box::new(self.status())),
+            PeerRequest::History => {
+                vote.chamber.history().await.map_or_else(PeerResponse::Error, PeerResponse::History)
+            }
+            PeerRequest::Status => PeerResponse::Status(Box::new(self.status())),
         }
     }
 
     /// Makes the configured voters the first ones, and this document the first rules.
-    async fn found(&self, vote: &Vote, document: nickelflow_rollout::Document) -> Result<u64, Unanswered> {
+    async fn found(
+        &self,
+        vote: &Vote,
+        document: nickelflow_rollout::RulesDocument,
+    ) -> Result<u64, PeerError> {
         small(&document)?;
-        if !vote.raft.is_initialized().await.map_err(|e| Unanswered::NoMajority(e.to_string()))? {
+        if !vote.raft.is_initialized().await.map_err(|e| PeerError::NoQuorum(e.to_string()))? {
             let voters: BTreeSet<u64> = self.settings.voters.keys().copied().collect();
             let begun = vote.raft.initialize(voters).await;
-            begun.map_err(|e| Unanswered::NoMajority(e.to_string()))?;
+            begun.map_err(|e| PeerError::NoQuorum(e.to_string()))?;
         }
         // The first election takes a while.
         let led = vote.raft.wait(Some(BODY / 2)).metrics(|m| m.current_leader.is_some(), "a leader").await;
-        led.map_err(|e| Unanswered::NoMajority(e.to_string()))?;
-        vote.chamber.command(Command::Found(document)).await
+        led.map_err(|e| PeerError::NoQuorum(e.to_string()))?;
+        vote.chamber.command(Command::Bootstrap(document)).await
     }
 
     fn status(&self) -> Status {
@@ -325,12 +343,12 @@
             build: self.settings.build.clone(),
             version,
             left_ms,
-            careful_ms,
-            bound_ms: self.settings.terms.bound() / 1_000_000,
-            not_voting: vote.err().cloned().or(trouble),
-            voter: self.settings.voting.as_ref().map(|voting| voting.id),
+            degraded_ms: careful_ms,
+            max_overlap_ms: self.settings.lease.max_overlap() / 1_000_000,
+            not_voting_reason: vote.err().cloned().or(trouble),
+            voter: self.settings.voter.as_ref().map(|voting| voting.id),
             leader: vote.ok().and_then(|vote| vote.chamber.leader()),
-            leads: vote.ok().and_then(|vote| vote.chamber.lead()),
+            leader_status: vote.ok().and_then(|vote| vote.chamber.lead()),
         }
     }
 }
@@ -350,9 +368,14 @@
 }
 
 /// Begins to vote; why not, if it cannot.
-async fn vote(settings: &Settings, voting: &Voting, peers: Peers, clock: Clock) -> Result<Vote, NotOpened> {
+async fn vote(
+    settings: &ControlPlaneConfig,
+    voting: &VoterConfig,
+    peers: Peers,
+    clock: Clock,
+) -> Result<Vote, NotOpened> {
     let never = |e: &dyn std::fmt::Display| NotOpened::Never(e.to_string());
-    let store = Store::open(&voting.data, &settings.fleet, voting.id)?;
+    let store = Store::open(&voting.data_dir, &settings.fleet, voting.id)?;
     let state = State::load(store.clone()).await.map_err(|e| never(&e))?;
     let config = Config {
         cluster_name: settings.fleet.clone(),
@@ -370,6 +393,6 @@
     let config = Arc::new(config.validate().map_err(|e| never(&e))?);
     let raft = Raft::new(voting.id, config, peers, store.clone(), state.clone()).await;
     let raft = raft.map_err(|e| never(&e))?;
-    let chamber = Chamber::open(voting.id, raft.clone(), state, settings.terms, clock);
+    let chamber = Chamber::open(voting.id, raft.clone(), state, settings.lease, clock);
     Ok(Vote { raft, chamber, store })
 }
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -17,7 +17,7 @@
 };
 use openraft::EmptyNode;
 
-use crate::messages::{Answer, Call, FORMAT, MOST_BYTES};
+use crate::messages::{PeerRequest, PeerResponse, FORMAT, MAX_MESSAGE_BYTES};
 use crate::raft::Types;
 
 /// Where a process listens for the others: `host:port`.
@@ -57,15 +57,20 @@
     }
 
     /// Asks the process at an address; what takes longer than `limit` has failed, and its connection is closed.
-    pub async fn ask(&self, address: &str, call: &Call, limit: Duration) -> Result<Answer, String> {
+    pub async fn ask(
+        &self,
+        address: &str,
+        call: &PeerRequest,
+        limit: Duration,
+    ) -> Result<PeerResponse, String> {
         let asked = tokio::time::timeout(limit, self.exchange(address, call)).await;
         asked.unwrap_or_else(|_| Err(format!("{address}: no answer within {} ms", limit.as_millis())))
     }
 
-    async fn exchange(&self, address: &str, call: &Call) -> Result<Answer, String> {
+    async fn exchange(&self, address: &str, call: &PeerRequest) -> Result<PeerResponse, String> {
         let failed = |e: &dyn std::fmt::Display| format!("{address}: {e}");
         let body = postcard::to_stdvec(call).map_err(|e| failed(&e))?;
-        if body.len() > MOST_BYTES {
+        if body.len() > MAX_MESSAGE_BYTES {
             return Err(failed(&"the message is too large"));
         }
         let request = Request::post(format!("http://{address}{}", call.path()))
@@ -75,7 +80,8 @@
             .map_err(|e| failed(&e))?;
         let response = self.client.request(request).await.map_err(|e| failed(&e))?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), MOST_BYTES).collect().await.map_err(|e| failed(&e))?;
+        let body =
+            Limited::new(response.into_body(), MAX_MESSAGE_BYTES).collect().await.map_err(|e| failed(&e))?;
         let body = body.to_bytes();
         if status != StatusCode::OK {
             return Err(failed(&String::from_utf8_lossy(&body[..body.len().min(200)])));
@@ -96,16 +102,16 @@
     RPCError::Unreachable(Unreachable::new(&std::io::Error::other(why)))
 }
 
-fn odd<E: std::error::Error>(answer: &Answer) -> RpcFailed<E> {
+fn odd<E: std::error::Error>(answer: &PeerResponse) -> RpcFailed<E> {
     let why = match answer {
-        Answer::No(why) => why.to_string(),
+        PeerResponse::Error(why) => why.to_string(),
         _ => "answered something else".to_owned(),
     };
     RPCError::Network(NetworkError::new(&std::io::Error::other(why)))
 }
 
 impl Voter {
-    async fn ask(&self, call: &Call, option: &RPCOption) -> Result<Answer, String> {
+    async fn ask(&self, call: &PeerRequest, option: &RPCOption) -> Result<PeerResponse, String> {
         let address = self.peers.voters.get(&self.id);
         let address = address.ok_or_else(|| format!("no address of voter {} is configured", self.id))?;
         self.peers.ask(address, call, option.hard_ttl()).await
@@ -118,8 +124,8 @@
         rpc: AppendEntriesRequest<Types>,
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<u64>, RpcFailed> {
-        match self.ask(&Call::Append(rpc), &option).await.map_err(unreachable)? {
-            Answer::Append(done) => done.map_err(|e| RemoteError::new(self.id, e).into()),
+        match self.ask(&PeerRequest::AppendEntries(rpc), &option).await.map_err(unreachable)? {
+            PeerResponse::AppendEntries(done) => done.map_err(|e| RemoteError::new(self.id, e).into()),
             other => Err(odd(&other)),
         }
     }
@@ -129,8 +135,8 @@
         rpc: InstallSnapshotRequest<Types>,
         option: RPCOption,
     ) -> Result<InstallSnapshotResponse<u64>, RpcFailed<InstallSnapshotError>> {
-        match self.ask(&Call::Snapshot(rpc), &option).await.map_err(unreachable)? {
-            Answer::Snapshot(done) => done.map_err(|e| RemoteError::new(self.id, e).into()),
+        match self.ask(&PeerRequest::InstallSnapshot(rpc), &option).await.map_err(unreachable)? {
+            PeerResponse::InstallSnapshot(done) => done.map_err(|e| RemoteError::new(self.id, e).into()),
             other => Err(odd(&other)),
         }
     }
@@ -140,8 +146,8 @@
         rpc: VoteRequest<u64>,
         option: RPCOption,
     ) -> Result<VoteResponse<u64>, RpcFailed> {
-        match self.ask(&Call::Vote(rpc), &option).await.map_err(unreachable)? {
-            Answer::Vote(done) => done.map_err(|e| RemoteError::new(self.id, e).into()),
+        match self.ask(&PeerRequest::Vote(rpc), &option).await.map_err(unreachable)? {
+            PeerResponse::Vote(done) => done.map_err(|e| RemoteError::new(self.id, e).into()),
             other => Err(odd(&other)),
         }
     }
--- a/crates/control-plane/src/state.rs
+++ b/crates/control-plane/src/state.rs
@@ -3,7 +3,7 @@
 use std::io::Cursor;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use nickelflow_rollout::{Decider, Refused, Version};
+use nickelflow_rollout::{CommandError, RolloutState, Version};
 use openraft::storage::{RaftSnapshotBuilder, RaftStateMachine};
 use openraft::{EntryPayload, OptionalSend, RaftLogId, Snapshot, StorageIOError};
 use serde::{Deserialize, Serialize};
@@ -19,14 +19,14 @@
     /// An entry of the library's own.
     Nothing,
     Done(u64),
-    Refused(Refused),
+    Refused(CommandError),
     NotFounded,
     Founded,
 }
 
 #[derive(Clone, Default, Serialize, Deserialize)]
 struct Kept {
-    decider: Option<Decider>,
+    decider: Option<RolloutState>,
     last: Option<LogId>,
     membership: Membership,
 }
@@ -55,7 +55,7 @@
     }
 
     /// Looks at the rules, if any have been founded.
-    pub fn rules<T>(&self, look: impl FnOnce(&Decider) -> T) -> Option<T> {
+    pub fn rules<T>(&self, look: impl FnOnce(&RolloutState) -> T) -> Option<T> {
         self.kept().decider.as_ref().map(look)
     }
 
@@ -67,12 +67,12 @@
 impl Kept {
     fn apply(&mut self, term: u64, command: Command) -> Applied {
         let decider = match (command, &mut self.decider) {
-            (Command::Found(document), none @ None) => {
-                *none = Some(Decider::new(document));
+            (Command::Bootstrap(document), none @ None) => {
+                *none = Some(RolloutState::new(document));
                 return Applied::Done(1);
             }
-            (Command::Mark, _) => return Applied::Nothing,
-            (Command::Found(_), Some(_)) => return Applied::Founded,
+            (Command::ReadBarrier, _) => return Applied::Nothing,
+            (Command::Bootstrap(_), Some(_)) => return Applied::Founded,
             (_, None) => return Applied::NotFounded,
             (command, Some(decider)) => (command, decider),
         };
@@ -80,18 +80,18 @@
         let done = match command {
             Command::Propose { base, document } => decider.propose(base, document),
             Command::RollBack { base, to } => decider.roll_back(base, to),
-            Command::Sit(name) => decider.sit(&name).map(|()| 0),
+            Command::Join(name) => decider.join(&name).map(|()| 0),
             Command::Leave(name) => {
                 decider.leave(&name);
                 Ok(0)
             }
-            Command::Advance { from, has } => {
+            Command::Advance { from, acknowledged: has } => {
                 // A message that came twice, or of one that led before.
-                let still = decider.in_force().0 == from;
+                let still = decider.active().0 == from;
                 let version = still.then(|| decider.advance(term, &has)).flatten();
                 Ok(version.map_or(0, |Version { number, .. }| number))
             }
-            Command::Found(_) | Command::Mark => return Applied::Nothing,
+            Command::Bootstrap(_) | Command::ReadBarrier => return Applied::Nothing,
         };
         match done {
             Ok(number) => Applied::Done(number),
--- a/crates/control-plane/tests/councils.rs
+++ b/crates/control-plane/tests/councils.rs
@@ -9,24 +9,25 @@
 use std::time::{Duration, Instant};
 
 use nickelflow_control_plane::{
-    prepare, start, Answer, Call, Command, Council, Peers, Settings, Status, Unanswered, Voting,
+    prepare, start, Command, ControlPlane, ControlPlaneConfig, PeerError, PeerRequest, PeerResponse, Peers,
+    Status, VoterConfig,
 };
-use nickelflow_rollout::{Document, Refused, Standing, Terms, Version};
+use nickelflow_rollout::{CommandError, LeaseConfig, RulesDocument, Version, WorkerState};
 
 const FLEET: &str = "emmental";
 /// Only so that a test that hangs ends.
 const LONG: Duration = Duration::from_secs(30);
 const LIMIT: Duration = Duration::from_secs(5);
 
-fn terms() -> Terms {
-    Terms::new(1_000_000_000, 200_000_000, 0.01).expect("sound terms")
+fn terms() -> LeaseConfig {
+    LeaseConfig::new(1_000_000_000, 200_000_000, 0.01).expect("sound terms")
 }
 
-fn document(text: &str) -> Document {
-    Document::parse(text).expect("a sound document")
+fn document(text: &str) -> RulesDocument {
+    RulesDocument::parse(text).expect("a sound document")
 }
 
-fn limit(quota: u32) -> Document {
+fn limit(quota: u32) -> RulesDocument {
     document(&format!("schedulers = 4\n[tenants.milk]\nquota_per_s = {quota}\n"))
 }
 
@@ -50,7 +51,7 @@
     /// The voters' ports: without them another test's voter could listen where a killed one is still written to.
     ports: Vec<tokio::net::TcpSocket>,
     voters: BTreeMap<u64, String>,
-    running: BTreeMap<u64, Council>,
+    running: BTreeMap<u64, ControlPlane>,
 }
 
 impl Fleet {
@@ -76,20 +77,20 @@
         self.folder.path().join(id.to_string())
     }
 
-    fn settings(&self, name: &str, voting: Option<Voting>) -> Settings {
-        Settings {
+    fn settings(&self, name: &str, voting: Option<VoterConfig>) -> ControlPlaneConfig {
+        ControlPlaneConfig {
             fleet: self.name.clone(),
             name: name.to_owned(),
             voters: self.voters.clone(),
-            voting,
-            terms: terms(),
-            honoured: terms(),
+            voter: voting,
+            lease: terms(),
+            local_lease: terms(),
             build: "test".to_owned(),
         }
     }
 
     fn start(&mut self, id: u64, listener: TcpListener) {
-        let settings = self.settings(&format!("v{id}"), Some(Voting { id, data: self.data(id) }));
+        let settings = self.settings(&format!("v{id}"), Some(VoterConfig { id, data_dir: self.data(id) }));
         self.running.insert(id, start(settings, listener).expect("it starts"));
     }
 
@@ -98,22 +99,22 @@
         self.start(id, listener);
     }
 
-    fn holder(&self, name: &str) -> Council {
+    fn holder(&self, name: &str) -> ControlPlane {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         start(self.settings(name, None), listener).expect("it starts")
     }
 
-    async fn ask(&self, id: u64, call: &Call) -> Answer {
+    async fn ask(&self, id: u64, call: &PeerRequest) -> PeerResponse {
         let peers = Peers::new(self.name.clone(), self.voters.clone());
         peers.ask(&self.voters[&id], call, LIMIT).await.expect("an answer")
     }
 
     /// Asks the voters in turn until one that leads has answered.
-    async fn lead(&self, call: impl Fn() -> Call) -> Answer {
+    async fn lead(&self, call: impl Fn() -> PeerRequest) -> PeerResponse {
         until(|| async {
             for id in self.running.keys() {
                 match self.ask(*id, &call()).await {
-                    Answer::No(Unanswered::NotLeading(_) | Unanswered::NoMajority(_)) => {}
+                    PeerResponse::Error(PeerError::NotLeader(_) | PeerError::NoQuorum(_)) => {}
                     answer => return Some(answer),
                 }
             }
@@ -122,19 +123,21 @@
         .await
     }
 
-    async fn propose(&self, document: Document) -> u64 {
-        let Answer::History(kept) = self.lead(|| Call::History).await else { panic!("no history") };
+    async fn propose(&self, document: RulesDocument) -> u64 {
+        let PeerResponse::History(kept) = self.lead(|| PeerRequest::History).await else {
+            panic!("no history")
+        };
         let base = kept.last().expect("founded").0;
-        let call = || Call::Command(Command::Propose { base, document: document.clone() });
+        let call = || PeerRequest::Command(Command::Propose { base, document: document.clone() });
         match self.lead(call).await {
-            Answer::Done(number) => number,
+            PeerResponse::Applied(number) => number,
             other => panic!("{other:?}"),
         }
     }
 
     async fn status(&self, id: u64) -> Status {
-        match self.ask(id, &Call::Status).await {
-            Answer::Status(status) => *status,
+        match self.ask(id, &PeerRequest::Status).await {
+            PeerResponse::Status(status) => *status,
             other => panic!("{other:?}"),
         }
     }
@@ -142,7 +145,7 @@
     async fn leader(&self) -> u64 {
         until(|| async {
             for id in self.running.keys() {
-                if self.status(*id).await.leads.is_some() {
+                if self.status(*id).await.leader_status.is_some() {
                     return Some(*id);
                 }
             }
@@ -164,25 +167,26 @@
 }
 
 /// Waits until this one acts on a document's limit in full.
-async fn acts(council: &Council, quota: f64) -> Version {
-    let mut told = council.told.clone();
+async fn acts(council: &ControlPlane, quota: f64) -> Version {
+    let mut told = council.active_rules.clone();
     let settled = told.wait_for(|told| {
-        told.as_ref()
-            .is_some_and(|told| told.step.quotas.get("milk") == Some(&quota) && Instant::now() < told.until)
+        told.as_ref().is_some_and(|told| {
+            told.step.quotas.get("milk") == Some(&quota) && Instant::now() < told.lease_expiry
+        })
     });
     let told = tokio::time::timeout(LONG, settled).await.expect("in time").expect("it runs");
     told.as_ref().expect("told").version
 }
 
 /// The same, and what the voters say of themselves where it never comes.
-async fn acts_in(fleet: &Fleet, council: &Council, quota: f64) -> Version {
+async fn acts_in(fleet: &Fleet, council: &ControlPlane, quota: f64) -> Version {
     let asked = tokio::time::timeout(LONG - LIMIT, acts(council, quota)).await;
     let Ok(version) = asked else {
         let mut all = Vec::new();
         for id in fleet.running.keys() {
             all.push(fleet.status(*id).await);
         }
-        panic!("no limit of {quota} in time; the holder has {:?}; {all:#?}", *council.told.borrow());
+        panic!("no limit of {quota} in time; the holder has {:?}; {all:#?}", *council.active_rules.borrow());
     };
     version
 }
@@ -192,44 +196,47 @@
     let fleet = Fleet::begin();
     let holder = fleet.holder("h");
     let refused = until(|| async {
-        match fleet.ask(1, &Call::History).await {
-            Answer::No(Unanswered::NotLeading(None)) => Some(()),
+        match fleet.ask(1, &PeerRequest::History).await {
+            PeerResponse::Error(PeerError::NotLeader(None)) => Some(()),
             _ => None,
         }
     });
     refused.await;
-    assert!(holder.told.borrow().is_none());
-    assert!(matches!(fleet.ask(1, &Call::Found(limit(100))).await, Answer::Done(1)));
-    assert!(matches!(fleet.lead(|| Call::Found(limit(1))).await, Answer::No(Unanswered::Founded)));
+    assert!(holder.active_rules.borrow().is_none());
+    assert!(matches!(fleet.ask(1, &PeerRequest::Bootstrap(limit(100))).await, PeerResponse::Applied(1)));
+    assert!(matches!(
+        fleet.lead(|| PeerRequest::Bootstrap(limit(1))).await,
+        PeerResponse::Error(PeerError::AlreadyBootstrapped)
+    ));
     let mut versions = vec![acts(&holder, 100.0).await];
     fleet.propose(limit(50)).await;
     for council in fleet.running.values().chain([&holder]) {
         versions.push(acts(council, 50.0).await);
     }
     assert!(versions[1] > versions[0], "{versions:?}");
-    let back = fleet.lead(|| Call::Command(Command::RollBack { base: 2, to: 1 })).await;
-    assert!(matches!(back, Answer::Done(3)), "{back:?}");
+    let back = fleet.lead(|| PeerRequest::Command(Command::RollBack { base: 2, to: 1 })).await;
+    assert!(matches!(back, PeerResponse::Applied(3)), "{back:?}");
     acts(&holder, 100.0).await;
     // Somebody who has not seen the roll-back proposes too late.
-    let late = fleet.lead(|| Call::Command(Command::Propose { base: 2, document: limit(7) })).await;
-    assert!(matches!(late, Answer::No(Unanswered::Refused(Refused::Changed(3)))), "{late:?}");
+    let late = fleet.lead(|| PeerRequest::Command(Command::Propose { base: 2, document: limit(7) })).await;
+    assert!(matches!(late, PeerResponse::Error(PeerError::Rejected(CommandError::Conflict(3)))), "{late:?}");
 }
 
 #[tokio::test]
 async fn a_killed_leader_is_followed_by_another_and_takes_its_own_log_up_again() {
     let mut fleet = Fleet::begin();
     let holder = fleet.holder("h");
-    assert!(matches!(fleet.ask(2, &Call::Found(limit(100))).await, Answer::Done(1)));
+    assert!(matches!(fleet.ask(2, &PeerRequest::Bootstrap(limit(100))).await, PeerResponse::Applied(1)));
     acts_in(&fleet, &holder, 100.0).await;
     let killed = fleet.leader().await;
-    fleet.running.remove(&killed).expect("it runs").end();
+    fleet.running.remove(&killed).expect("it runs").shut_down();
     fleet.propose(limit(60)).await;
     acts_in(&fleet, &holder, 60.0).await;
     fleet.restart(killed);
     acts_in(&fleet, &fleet.running[&killed], 60.0).await;
     // Only with what it had on disk can it be one of a majority again.
     let other = *fleet.running.keys().find(|id| **id != killed && **id != 2).unwrap_or(&2);
-    fleet.running.remove(&other).expect("it runs").end();
+    fleet.running.remove(&other).expect("it runs").shut_down();
     fleet.propose(limit(70)).await;
     acts_in(&fleet, &holder, 70.0).await;
 }
@@ -237,15 +244,15 @@
 #[tokio::test]
 async fn one_that_leads_and_comes_back_at_once_grants_nothing_of_before() {
     let mut fleet = Fleet::begin();
-    assert!(matches!(fleet.ask(1, &Call::Found(limit(100))).await, Answer::Done(1)));
+    assert!(matches!(fleet.ask(1, &PeerRequest::Bootstrap(limit(100))).await, PeerResponse::Applied(1)));
     for quota in 2..6 {
         fleet.propose(limit(quota)).await;
         acts(&fleet.running[&2], f64::from(quota)).await;
         // Sooner than anybody misses it.
         let leader = fleet.leader().await;
-        fleet.running.remove(&leader).expect("it runs").end();
+        fleet.running.remove(&leader).expect("it runs").shut_down();
         fleet.restart(leader);
-        let mut told = fleet.running[&leader].told.clone();
+        let mut told = fleet.running[&leader].active_rules.clone();
         let first = tokio::time::timeout(LONG, told.wait_for(Option::is_some)).await.expect("in time");
         let first = first.expect("it runs").clone().expect("told");
         assert_eq!(first.step.quotas["milk"], f64::from(quota));
@@ -256,20 +263,20 @@
 async fn without_a_majority_leases_lapse_and_nothing_is_decided() {
     let mut fleet = Fleet::begin();
     let holder = fleet.holder("h");
-    assert!(matches!(fleet.ask(1, &Call::Found(limit(100))).await, Answer::Done(1)));
+    assert!(matches!(fleet.ask(1, &PeerRequest::Bootstrap(limit(100))).await, PeerResponse::Applied(1)));
     acts(&holder, 100.0).await;
     for id in [1, 2] {
-        fleet.running.remove(&id).expect("it runs").end();
+        fleet.running.remove(&id).expect("it runs").shut_down();
     }
-    let told = holder.told.clone();
+    let told = holder.active_rules.clone();
     until(|| async {
-        let lapsed = told.borrow().as_ref().is_some_and(|told| told.until <= Instant::now());
+        let lapsed = told.borrow().as_ref().is_some_and(|told| told.lease_expiry <= Instant::now());
         lapsed.then_some(())
     })
     .await;
     let base = 1;
-    let call = Call::Command(Command::Propose { base, document: limit(5) });
-    assert!(matches!(fleet.ask(3, &call).await, Answer::No(_)));
+    let call = PeerRequest::Command(Command::Propose { base, document: limit(5) });
+    assert!(matches!(fleet.ask(3, &call).await, PeerResponse::Error(_)));
     fleet.restart(1);
     acts(&holder, 100.0).await;
 }
@@ -278,52 +285,52 @@
 async fn a_name_that_another_process_takes_gives_its_first_one_no_lease_any_more() {
     let fleet = Fleet::begin();
     let first = fleet.holder("h");
-    assert!(matches!(fleet.ask(1, &Call::Found(limit(100))).await, Answer::Done(1)));
+    assert!(matches!(fleet.ask(1, &PeerRequest::Bootstrap(limit(100))).await, PeerResponse::Applied(1)));
     acts(&first, 100.0).await;
     let second = fleet.holder("h");
     acts(&second, 100.0).await;
     fleet.propose(limit(50)).await;
     acts(&second, 50.0).await;
-    let told = first.told.borrow().clone().expect("told");
+    let told = first.active_rules.borrow().clone().expect("told");
     assert_eq!(told.step.quotas["milk"], 100.0);
-    let lapsed = until(|| async { (told.until <= Instant::now()).then_some(()) });
+    let lapsed = until(|| async { (told.lease_expiry <= Instant::now()).then_some(()) });
     lapsed.await;
-    assert_eq!(first.told.borrow().as_ref().map(|now| now.until), Some(told.until));
+    assert_eq!(first.active_rules.borrow().as_ref().map(|now| now.lease_expiry), Some(told.lease_expiry));
 }
 
 #[tokio::test]
 async fn an_ended_scheduler_gives_its_seat_up() {
     let fleet = Fleet::begin();
     let four = document("schedulers = 4\n");
-    assert!(matches!(fleet.ask(1, &Call::Found(four)).await, Answer::Done(1)));
-    let told = |id: u64| fleet.running[&id].told.borrow().is_some();
+    assert!(matches!(fleet.ask(1, &PeerRequest::Bootstrap(four)).await, PeerResponse::Applied(1)));
+    let told = |id: u64| fleet.running[&id].active_rules.borrow().is_some();
     until(|| async { (1..=3).all(told).then_some(()) }).await;
     let (fourth, fifth) = (fleet.holder("h4"), fleet.holder("h5"));
-    let seated = |council: &Council| council.told.borrow().is_some();
+    let seated = |council: &ControlPlane| council.active_rules.borrow().is_some();
     let first_seated = until(|| async { (seated(&fourth) || seated(&fifth)).then(|| seated(&fourth)) }).await;
     let (sits, waits) = if first_seated { (fourth, fifth) } else { (fifth, fourth) };
     assert!(!seated(&waits), "five sit on four seats");
-    tokio::task::spawn_blocking(|| sits.end()).await.expect("it ends");
+    tokio::task::spawn_blocking(|| sits.shut_down()).await.expect("it ends");
     until(|| async { seated(&waits).then_some(()) }).await;
 }
 
 #[tokio::test]
 async fn a_voter_is_replaced_by_one_with_another_number() {
     let mut fleet = Fleet::begin();
-    assert!(matches!(fleet.ask(1, &Call::Found(limit(100))).await, Answer::Done(1)));
+    assert!(matches!(fleet.ask(1, &PeerRequest::Bootstrap(limit(100))).await, PeerResponse::Applied(1)));
     acts(&fleet.running[&2], 100.0).await;
     // All must be able to reach it before it is one of them: here by starting again with its address.
     fleet.prepare(4);
     fleet.restart(4);
     for id in [1, 2, 3] {
-        fleet.running.remove(&id).expect("it runs").end();
+        fleet.running.remove(&id).expect("it runs").shut_down();
         fleet.restart(id);
         acts(&fleet.running[&id], 100.0).await;
     }
-    let changed = fleet.lead(|| Call::Voters([1, 2, 4].into())).await;
-    assert!(matches!(changed, Answer::Done(_)), "{changed:?}");
-    fleet.running.remove(&3).expect("it runs").end();
-    fleet.running.remove(&1).expect("it runs").end();
+    let changed = fleet.lead(|| PeerRequest::ChangeVoters([1, 2, 4].into())).await;
+    assert!(matches!(changed, PeerResponse::Applied(_)), "{changed:?}");
+    fleet.running.remove(&3).expect("it runs").shut_down();
+    fleet.running.remove(&1).expect("it runs").shut_down();
     fleet.propose(limit(30)).await;
     acts(&fleet.running[&4], 30.0).await;
 }
@@ -331,24 +338,24 @@
 #[tokio::test]
 async fn a_voter_without_its_folder_holds_leases_and_does_not_vote() {
     let mut fleet = Fleet::begin();
-    assert!(matches!(fleet.ask(1, &Call::Found(limit(100))).await, Answer::Done(1)));
+    assert!(matches!(fleet.ask(1, &PeerRequest::Bootstrap(limit(100))).await, PeerResponse::Applied(1)));
     acts(&fleet.running[&3], 100.0).await;
-    fleet.running.remove(&3).expect("it runs").end();
+    fleet.running.remove(&3).expect("it runs").shut_down();
     std::fs::remove_dir_all(fleet.data(3)).expect("it was there");
     fleet.restart(3);
     acts(&fleet.running[&3], 100.0).await;
-    let why = fleet.status(3).await.not_voting.expect("it does not vote");
+    let why = fleet.status(3).await.not_voting_reason.expect("it does not vote");
     assert!(why.contains("replace it"), "{why}");
 }
 
 fn stamped_otherwise(path: &Path) -> String {
-    let settings = Settings {
+    let settings = ControlPlaneConfig {
         fleet: FLEET.to_owned(),
         name: "v1".to_owned(),
         voters: BTreeMap::new(),
-        voting: Some(Voting { id: 1, data: path.to_owned() }),
-        terms: terms(),
-        honoured: terms(),
+        voter: Some(VoterConfig { id: 1, data_dir: path.to_owned() }),
+        lease: terms(),
+        local_lease: terms(),
         build: "test".to_owned(),
     };
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -356,10 +363,10 @@
     let council = start(settings, listener).expect("it starts all the same");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let peers = Peers::new(FLEET.to_owned(), BTreeMap::new());
-    let answer = runtime.block_on(peers.ask(&address, &Call::Status, LIMIT)).expect("an answer");
-    council.end();
-    let Answer::Status(status) = answer else { panic!("{answer:?}") };
-    status.not_voting.expect("it does not vote")
+    let answer = runtime.block_on(peers.ask(&address, &PeerRequest::Status, LIMIT)).expect("an answer");
+    council.shut_down();
+    let PeerResponse::Status(status) = answer else { panic!("{answer:?}") };
+    status.not_voting_reason.expect("it does not vote")
 }
 
 #[test]
@@ -382,10 +389,10 @@
 async fn rubbish_and_others_messages_are_refused_and_do_no_harm() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let fleet = Fleet::begin();
-    assert!(matches!(fleet.ask(1, &Call::Found(limit(100))).await, Answer::Done(1)));
+    assert!(matches!(fleet.ask(1, &PeerRequest::Bootstrap(limit(100))).await, PeerResponse::Applied(1)));
     acts(&fleet.running[&1], 100.0).await;
     let other = Peers::new("gruyere".to_owned(), BTreeMap::new());
-    let why = other.ask(&fleet.voters[&1], &Call::Status, LIMIT).await.expect_err("another fleet's");
+    let why = other.ask(&fleet.voters[&1], &PeerRequest::Status, LIMIT).await.expect_err("another fleet's");
     assert!(why.contains("another fleet"), "{why}");
     let head = format!("POST /rules HTTP/1.1\r\nhost: x\r\nnickelflow-fleet: {}\r\n", fleet.name);
     for (request, told) in [
@@ -403,18 +410,18 @@
         let answer = String::from_utf8_lossy(&answer).into_owned();
         assert!(answer.ends_with(told), "{answer} instead of {told} to {request}");
     }
-    let long = Call::Command(Command::Propose {
+    let long = PeerRequest::Command(Command::Propose {
         base: 1,
-        document: Document {
+        document: RulesDocument {
             quotas: (0..200_000).map(|n| (format!("a tenant with a rather long name {n}"), 1.0)).collect(),
-            ..Document::default()
+            ..RulesDocument::default()
         },
     });
     let refused = fleet.lead(|| match &long {
-        Call::Command(command) => Call::Command(command.clone()),
-        _ => Call::Status,
+        PeerRequest::Command(command) => PeerRequest::Command(command.clone()),
+        _ => PeerRequest::Status,
     });
-    assert!(matches!(refused.await, Answer::No(Unanswered::TooLarge)));
+    assert!(matches!(refused.await, PeerResponse::Error(PeerError::DocumentTooLarge)));
     fleet.propose(limit(50)).await;
     acts(&fleet.running[&1], 50.0).await;
 }
@@ -422,23 +429,23 @@
 #[tokio::test]
 async fn one_with_other_terms_gets_no_lease() {
     let fleet = Fleet::begin();
-    assert!(matches!(fleet.ask(1, &Call::Found(limit(100))).await, Answer::Done(1)));
-    let longer = Terms::new(5_000_000_000, 200_000_000, 0.01).expect("sound terms");
-    let settings = Settings { terms: longer, honoured: longer, ..fleet.settings("h", None) };
+    assert!(matches!(fleet.ask(1, &PeerRequest::Bootstrap(limit(100))).await, PeerResponse::Applied(1)));
+    let longer = LeaseConfig::new(5_000_000_000, 200_000_000, 0.01).expect("sound terms");
+    let settings = ControlPlaneConfig { lease: longer, local_lease: longer, ..fleet.settings("h", None) };
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let other = start(settings, listener).expect("it starts");
     let holder = fleet.holder("g");
     acts(&holder, 100.0).await;
     fleet.propose(limit(50)).await;
     acts(&holder, 50.0).await;
-    assert!(other.told.borrow().is_none());
+    assert!(other.active_rules.borrow().is_none());
 }
 
 #[tokio::test]
 async fn a_hundred_changes_at_once_become_few_steps_and_the_last_one_holds() {
     let fleet = Fleet::begin();
     let holder = fleet.holder("h");
-    assert!(matches!(fleet.ask(1, &Call::Found(limit(1_000))).await, Answer::Done(1)));
+    assert!(matches!(fleet.ask(1, &PeerRequest::Bootstrap(limit(1_000))).await, PeerResponse::Applied(1)));
     let first = acts(&holder, 1_000.0).await;
     for quota in 1..=100 {
         fleet.propose(limit(quota)).await;
@@ -447,7 +454,9 @@
     // Each has three steps at the most, and none waits in a queue.
     assert!(last.number - first.number <= 300, "{first} to {last}");
     let leader = fleet.leader().await;
-    let lead = until(|| async { fleet.status(leader).await.leads.filter(|lead| lead.coming == 0) }).await;
+    let lead =
+        until(|| async { fleet.status(leader).await.leader_status.filter(|lead| lead.pending_steps == 0) })
+            .await;
     assert_eq!(lead.newest, 101);
 }
 
@@ -455,16 +464,16 @@
 async fn a_document_of_ten_thousand_workers_reaches_all() {
     let fleet = Fleet::begin();
     let holder = fleet.holder("h");
-    assert!(matches!(fleet.ask(1, &Call::Found(limit(100))).await, Answer::Done(1)));
+    assert!(matches!(fleet.ask(1, &PeerRequest::Bootstrap(limit(100))).await, PeerResponse::Applied(1)));
     acts(&holder, 100.0).await;
     let mut large = limit(50);
     for n in 0..10_000 {
-        large.workers.insert(format!("worker-with-a-name-{n}"), Standing::Cordoned);
+        large.workers.insert(format!("worker-with-a-name-{n}"), WorkerState::Cordoned);
     }
     fleet.propose(large).await;
     for council in fleet.running.values().chain([&holder]) {
         acts(council, 50.0).await;
-        let told = council.told.borrow().clone().expect("told");
-        assert_eq!(told.step.uses.len(), 10_000);
+        let told = council.active_rules.borrow().clone().expect("told");
+        assert_eq!(told.step.worker_access.len(), 10_000);
     }
 }
--- a/crates/control-plane/tests/message_bytes.rs
+++ b/crates/control-plane/tests/message_bytes.rs
@@ -8,8 +8,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
 
-use nickelflow_control_plane::{Answer, Call, Command, HolderStatus, Lead, Status, Unanswered};
-use nickelflow_rollout::{Document, Grant, Refused, Request, Standing, Step, Version};
+use nickelflow_control_plane::{
+    Command, HolderStatus, LeaderStatus, PeerError, PeerRequest, PeerResponse, Status,
+};
+use nickelflow_rollout::{
+    CommandError, LeaseGrant, LeaseRequest, RulesDocument, RulesStep, Version, WorkerState,
+};
 use openraft::error::{Fatal, InstallSnapshotError, RaftError, SnapshotMismatch};
 use openraft::raft::{
     AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
@@ -87,25 +91,28 @@
     Version { number, term: 7 }
 }
 
-fn document() -> Document {
-    Document {
+fn document() -> RulesDocument {
+    RulesDocument {
         schedulers: 4,
         quotas: BTreeMap::from([("milk".to_owned(), 100.0)]),
-        workers: BTreeMap::from([("w1".to_owned(), Standing::Pinned("milk".to_owned()))]),
-        list: 9,
-        ..Document::default()
+        workers: BTreeMap::from([("w1".to_owned(), WorkerState::Pinned("milk".to_owned()))]),
+        list_version: 9,
+        ..RulesDocument::default()
     }
 }
 
 fn commands() -> Vec<Command> {
     vec![
-        Command::Mark,
-        Command::Found(document()),
+        Command::ReadBarrier,
+        Command::Bootstrap(document()),
         Command::Propose { base: 300, document: document() },
         Command::RollBack { base: 301, to: 299 },
-        Command::Sit("s1".to_owned()),
+        Command::Join("s1".to_owned()),
         Command::Leave("s2".to_owned()),
-        Command::Advance { from: version(302), has: BTreeMap::from([("s1".to_owned(), version(303))]) },
+        Command::Advance {
+            from: version(302),
+            acknowledged: BTreeMap::from([("s1".to_owned(), version(303))]),
+        },
     ]
 }
 
@@ -126,11 +133,11 @@
 }
 
 /// One entry of each kind, and one for each command.
-fn append() -> Call {
+fn append() -> PeerRequest {
     let payloads = [EntryPayload::Blank, EntryPayload::Membership(membership())];
     let payloads = payloads.into_iter().chain(commands().into_iter().map(EntryPayload::Normal));
     let entry = |(index, payload)| Entry { log_id: log_id(index), payload };
-    Call::Append(AppendEntriesRequest {
+    PeerRequest::AppendEntries(AppendEntriesRequest {
         vote: Vote::new_committed(6, 3),
         prev_log_id: Some(log_id(409)),
         entries: (410..).zip(payloads).map(entry).collect(),
@@ -138,13 +145,18 @@
     })
 }
 
-fn heartbeat() -> Call {
+fn heartbeat() -> PeerRequest {
     let vote = Vote::new_committed(6, 3);
-    Call::Append(AppendEntriesRequest { vote, prev_log_id: None, entries: Vec::new(), leader_commit: None })
+    PeerRequest::AppendEntries(AppendEntriesRequest {
+        vote,
+        prev_log_id: None,
+        entries: Vec::new(),
+        leader_commit: None,
+    })
 }
 
-fn snapshot_chunk() -> Call {
-    Call::Snapshot(InstallSnapshotRequest {
+fn snapshot_chunk() -> PeerRequest {
+    PeerRequest::InstallSnapshot(InstallSnapshotRequest {
         vote: Vote::new_committed(6, 3),
         meta: snapshot_meta(),
         offset: 1_048_576,
@@ -153,51 +165,59 @@
     })
 }
 
-fn calls() -> Vec<Call> {
-    let request = Request { life: 1_000_001, number: 302, has: version(300) };
+fn calls() -> Vec<PeerRequest> {
+    let request = LeaseRequest { incarnation: 1_000_001, sequence: 302, acknowledged: version(300) };
     let mut calls = vec![
         append(),
         heartbeat(),
-        Call::Vote(VoteRequest::new(Vote::new(6, 3), Some(log_id(400)))),
+        PeerRequest::Vote(VoteRequest::new(Vote::new(6, 3), Some(log_id(400)))),
         snapshot_chunk(),
-        Call::Ask { holder: "s1".to_owned(), lease: 1_000_000_000, request },
-        Call::Found(document()),
-        Call::Voters(BTreeSet::from([1, 2, 4])),
-        Call::History,
-        Call::Status,
+        PeerRequest::RequestLease { holder: "s1".to_owned(), lease_duration: 1_000_000_000, request },
+        PeerRequest::Bootstrap(document()),
+        PeerRequest::ChangeVoters(BTreeSet::from([1, 2, 4])),
+        PeerRequest::History,
+        PeerRequest::Status,
     ];
-    calls.extend(commands().into_iter().map(Call::Command));
+    calls.extend(commands().into_iter().map(PeerRequest::Command));
     calls
 }
 
-fn refusals() -> Vec<Unanswered> {
+fn refusals() -> Vec<PeerError> {
     vec![
-        Unanswered::NotLeading(Some(3)),
-        Unanswered::NotLeading(None),
-        Unanswered::NotVoting("no folder".to_owned()),
-        Unanswered::Refused(Refused::Changed(300)),
-        Unanswered::Refused(Refused::Unknown(301)),
-        Unanswered::Refused(Refused::Full),
-        Unanswered::NotFounded,
-        Unanswered::Founded,
-        Unanswered::NameTaken,
-        Unanswered::TooLarge,
-        Unanswered::OtherTerms(1_000),
-        Unanswered::NoMajority("no answer in time".to_owned()),
+        PeerError::NotLeader(Some(3)),
+        PeerError::NotLeader(None),
+        PeerError::NotVoter("no folder".to_owned()),
+        PeerError::Rejected(CommandError::Conflict(300)),
+        PeerError::Rejected(CommandError::UnknownProposal(301)),
+        PeerError::Rejected(CommandError::MembershipFull),
+        PeerError::NotBootstrapped,
+        PeerError::AlreadyBootstrapped,
+        PeerError::NameTaken,
+        PeerError::DocumentTooLarge,
+        PeerError::LeaseMismatch(1_000),
+        PeerError::NoQuorum("no answer in time".to_owned()),
     ]
 }
 
 fn holder_status() -> HolderStatus {
-    HolderStatus { name: "s1".to_owned(), has: Some(version(302)), earliest: version(301), left_ms: 812 }
+    HolderStatus {
+        name: "s1".to_owned(),
+        acknowledged: Some(version(302)),
+        earliest: version(301),
+        left_ms: 812,
+    }
 }
 
-fn lead() -> Lead {
-    Lead {
-        in_force: version(303),
+fn lead() -> LeaderStatus {
+    LeaderStatus {
+        active: version(303),
         newest: 12,
-        coming: 3,
-        waits: Some("s1 is too many steps behind".to_owned()),
-        holders: vec![holder_status(), HolderStatus { name: "s2".to_owned(), has: None, ..holder_status() }],
+        pending_steps: 3,
+        blocked_by: Some("s1 is too many steps behind".to_owned()),
+        holders: vec![
+            holder_status(),
+            HolderStatus { name: "s2".to_owned(), acknowledged: None, ..holder_status() },
+        ],
     }
 }
 
@@ -207,41 +227,48 @@
         build: "0.1.0".to_owned(),
         version: Some(version(302)),
         left_ms: 811,
-        careful_ms: 813,
-        bound_ms: 1_020,
-        not_voting: Some("the disk is full".to_owned()),
+        degraded_ms: 813,
+        max_overlap_ms: 1_020,
+        not_voting_reason: Some("the disk is full".to_owned()),
         voter: Some(2),
         leader: Some(3),
-        leads: Some(lead()),
+        leader_status: Some(lead()),
     }
 }
 
 fn status_of_no_voter() -> Status {
-    Status { version: None, not_voting: None, voter: None, leader: None, leads: None, ..status() }
+    Status {
+        version: None,
+        not_voting_reason: None,
+        voter: None,
+        leader: None,
+        leader_status: None,
+        ..status()
+    }
 }
 
-fn answers() -> Vec<Answer> {
-    let step = Step::of(&document());
-    let grant = Grant { life: 1_000_001, number: 302, version: version(300), step: Some(step) };
+fn answers() -> Vec<PeerResponse> {
+    let step = RulesStep::of(&document());
+    let grant = LeaseGrant { incarnation: 1_000_001, sequence: 302, version: version(300), step: Some(step) };
     let (expect, got) = (SnapshotSegmentId::from(("a", 1)), SnapshotSegmentId::from(("b", 2)));
     let mismatch = InstallSnapshotError::SnapshotMismatch(SnapshotMismatch { expect, got });
     let mut answers = vec![
-        Answer::Append(Ok(AppendEntriesResponse::Success)),
-        Answer::Append(Ok(AppendEntriesResponse::PartialSuccess(Some(log_id(400))))),
-        Answer::Append(Ok(AppendEntriesResponse::Conflict)),
-        Answer::Append(Ok(AppendEntriesResponse::HigherVote(Vote::new(6, 3)))),
-        Answer::Append(Err(RaftError::Fatal(Fatal::Stopped))),
-        Answer::Vote(Ok(VoteResponse::new(Vote::new(6, 3), Some(log_id(400)), true))),
-        Answer::Vote(Err(RaftError::Fatal(Fatal::Panicked))),
-        Answer::Snapshot(Ok(InstallSnapshotResponse { vote: Vote::new(6, 3) })),
-        Answer::Snapshot(Err(RaftError::APIError(mismatch))),
-        Answer::Granted(Box::new(grant)),
-        Answer::Done(12),
-        Answer::History(vec![(11, document()), (12, Document::default())]),
-        Answer::Status(Box::new(status())),
-        Answer::Status(Box::new(status_of_no_voter())),
+        PeerResponse::AppendEntries(Ok(AppendEntriesResponse::Success)),
+        PeerResponse::AppendEntries(Ok(AppendEntriesResponse::PartialSuccess(Some(log_id(400))))),
+        PeerResponse::AppendEntries(Ok(AppendEntriesResponse::Conflict)),
+        PeerResponse::AppendEntries(Ok(AppendEntriesResponse::HigherVote(Vote::new(6, 3)))),
+        PeerResponse::AppendEntries(Err(RaftError::Fatal(Fatal::Stopped))),
+        PeerResponse::Vote(Ok(VoteResponse::new(Vote::new(6, 3), Some(log_id(400)), true))),
+        PeerResponse::Vote(Err(RaftError::Fatal(Fatal::Panicked))),
+        PeerResponse::InstallSnapshot(Ok(InstallSnapshotResponse { vote: Vote::new(6, 3) })),
+        PeerResponse::InstallSnapshot(Err(RaftError::APIError(mismatch))),
+        PeerResponse::LeaseGranted(Box::new(grant)),
+        PeerResponse::Applied(12),
+        PeerResponse::History(vec![(11, document()), (12, RulesDocument::default())]),
+        PeerResponse::Status(Box::new(status())),
+        PeerResponse::Status(Box::new(status_of_no_voter())),
     ];
-    answers.extend(refusals().into_iter().map(Answer::No));
+    answers.extend(refusals().into_iter().map(PeerResponse::Error));
     answers
 }
 
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -15,9 +15,10 @@
 
 use flate2::read::GzDecoder;
 use nickelflow_control_plane::{
-    start, Answer, Call, Command, Council, Lead, Peers, Settings, Status, Unanswered, Voting,
+    start, Command, ControlPlane, ControlPlaneConfig, LeaderStatus, PeerError, PeerRequest, PeerResponse,
+    Peers, Status, VoterConfig,
 };
-use nickelflow_rollout::{Decider, Document, Terms, Version};
+use nickelflow_rollout::{LeaseConfig, RolloutState, RulesDocument, Version};
 use openraft::{EmptyNode, LogId, SnapshotMeta, StoredMembership};
 use redb::{ReadableTable, ReadableTableMetadata, TableDefinition};
 
@@ -41,12 +42,12 @@
 const FOUNDED: Recording = Recording { name: "founded", in_force: Version { number: 6, term: 1 } };
 const SNAPSHOT: Recording = Recording { name: "snapshot", in_force: Version { number: 6, term: 1 } };
 
-fn parse(text: &str) -> Document {
-    Document::parse(text).expect("a sound document")
+fn parse(text: &str) -> RulesDocument {
+    RulesDocument::parse(text).expect("a sound document")
 }
 
 /// The rules that the recorded fleets were founded with.
-fn founding_document() -> Document {
+fn founding_document() -> RulesDocument {
     parse(
         "schedulers = 4\nlist = 7\nattempts = 3\nretry_after_ms = [10, 1500]\n\
          [tenants.milk]\nquota_per_s = 100\n[tenants.cream]\nquota_per_s = 12.5\n\
@@ -56,7 +57,7 @@
 }
 
 /// The rules that were proposed after them.
-fn proposed_document() -> Document {
+fn proposed_document() -> RulesDocument {
     parse(
         "schedulers = 4\nlist = 8\nattempts = 5\nretry_after_ms = [20, 1000]\n\
          [tenants.milk]\nquota_per_s = 50\n[tenants.cream]\nquota_per_s = 25\n\
@@ -65,7 +66,7 @@
 }
 
 /// The rules that the tests propose to a fleet that runs on recorded folders.
-fn next_document() -> Document {
+fn next_document() -> RulesDocument {
     parse("schedulers = 4\n[tenants.milk]\nquota_per_s = 33\n")
 }
 
@@ -100,7 +101,7 @@
     /// Kept so that no other process takes a voter's port.
     _ports: Vec<tokio::net::TcpSocket>,
     addresses: BTreeMap<u64, String>,
-    running: BTreeMap<u64, Council>,
+    running: BTreeMap<u64, ControlPlane>,
 }
 
 impl Fleet {
@@ -115,7 +116,7 @@
             let data = folder.path().join(id.to_string());
             fill(*id, &data);
             let listener = TcpListener::bind(address).expect("its own port");
-            let settings = settings(name, &addresses, Voting { id: *id, data });
+            let settings = settings(name, &addresses, VoterConfig { id: *id, data_dir: data });
             running.insert(*id, start(settings, listener).expect("it starts"));
         }
         Fleet { name, _folder: folder, _ports: ports, addresses, running }
@@ -127,17 +128,17 @@
         })
     }
 
-    async fn ask(&self, id: u64, call: &Call) -> Answer {
+    async fn ask(&self, id: u64, call: &PeerRequest) -> PeerResponse {
         let peers = Peers::new(self.name.to_owned(), self.addresses.clone());
         peers.ask(&self.addresses[&id], call, CALL_TIMEOUT).await.expect("an answer")
     }
 
     /// Asks the voters in turn until the leader has answered.
-    async fn ask_leader(&self, call: &Call) -> Answer {
+    async fn ask_leader(&self, call: &PeerRequest) -> PeerResponse {
         until(|| async {
             for id in VOTERS {
                 match self.ask(id, call).await {
-                    Answer::No(Unanswered::NotLeading(_) | Unanswered::NoMajority(_)) => {}
+                    PeerResponse::Error(PeerError::NotLeader(_) | PeerError::NoQuorum(_)) => {}
                     answer => return Some(answer),
                 }
             }
@@ -147,18 +148,19 @@
     }
 
     async fn status(&self, id: u64) -> Status {
-        match self.ask(id, &Call::Status).await {
-            Answer::Status(status) => *status,
+        match self.ask(id, &PeerRequest::Status).await {
+            PeerResponse::Status(status) => *status,
             other => panic!("{other:?}"),
         }
     }
 
     /// The status of the leader once all three voters hold leases and no step is pending.
-    async fn settled_leader(&self) -> Lead {
+    async fn settled_leader(&self) -> LeaderStatus {
         until(|| async {
             for id in VOTERS {
-                let lead = self.status(id).await.leads;
-                let settled = |lead: &Lead| lead.coming == 0 && lead.holders.len() == VOTERS.len();
+                let lead = self.status(id).await.leader_status;
+                let settled =
+                    |lead: &LeaderStatus| lead.pending_steps == 0 && lead.holders.len() == VOTERS.len();
                 if let Some(lead) = lead.filter(settled) {
                     return Some(lead);
                 }
@@ -168,16 +170,16 @@
         .await
     }
 
-    async fn history(&self) -> Vec<(u64, Document)> {
-        match self.ask_leader(&Call::History).await {
-            Answer::History(history) => history,
+    async fn history(&self) -> Vec<(u64, RulesDocument)> {
+        match self.ask_leader(&PeerRequest::History).await {
+            PeerResponse::History(history) => history,
             other => panic!("{other:?}"),
         }
     }
 
-    async fn propose(&self, base: u64, document: Document) -> u64 {
-        match self.ask_leader(&Call::Command(Command::Propose { base, document })).await {
-            Answer::Done(number) => number,
+    async fn propose(&self, base: u64, document: RulesDocument) -> u64 {
+        match self.ask_leader(&PeerRequest::Command(Command::Propose { base, document })).await {
+            PeerResponse::Applied(number) => number,
             other => panic!("{other:?}"),
         }
     }
@@ -185,10 +187,10 @@
     /// Waits until every voter holds a lease on rules with this limit for the tenant `milk`.
     async fn all_act_on(&self, quota: f64) {
         for council in self.running.values() {
-            let mut told = council.told.clone();
+            let mut told = council.active_rules.clone();
             let acts = told.wait_for(|told| {
                 told.as_ref().is_some_and(|told| {
-                    told.step.quotas.get("milk") == Some(&quota) && Instant::now() < told.until
+                    told.step.quotas.get("milk") == Some(&quota) && Instant::now() < told.lease_expiry
                 })
             });
             tokio::time::timeout(TEST_TIMEOUT, acts).await.expect("in time").expect("it runs");
@@ -196,15 +198,15 @@
     }
 }
 
-fn settings(fleet: &str, addresses: &BTreeMap<u64, String>, voting: Voting) -> Settings {
-    let terms = Terms::new(1_000_000_000, 200_000_000, 0.01).expect("sound terms");
-    Settings {
+fn settings(fleet: &str, addresses: &BTreeMap<u64, String>, voting: VoterConfig) -> ControlPlaneConfig {
+    let terms = LeaseConfig::new(1_000_000_000, 200_000_000, 0.01).expect("sound terms");
+    ControlPlaneConfig {
         fleet: fleet.to_owned(),
         name: format!("v{}", voting.id),
         voters: addresses.clone(),
-        voting: Some(voting),
-        terms,
-        honoured: terms,
+        voter: Some(voting),
+        lease: terms,
+        local_lease: terms,
         build: "test".to_owned(),
     }
 }
@@ -227,10 +229,10 @@
     assert_eq!(fleet.history().await, recorded);
     fleet.all_act_on(50.0).await;
     let lead = fleet.settled_leader().await;
-    assert_eq!((lead.in_force, lead.newest, lead.waits), (recording.in_force, 2, None));
+    assert_eq!((lead.active, lead.newest, lead.blocked_by), (recording.in_force, 2, None));
     for id in VOTERS {
         let status = fleet.status(id).await;
-        assert_eq!((status.not_voting, status.voter), (None, Some(id)));
+        assert_eq!((status.not_voting_reason, status.voter), (None, Some(id)));
     }
     assert_eq!(fleet.propose(2, next_document()).await, 3);
     fleet.all_act_on(33.0).await;
@@ -249,7 +251,7 @@
 }
 
 /// The state machine as a snapshot stores it: postcard writes a struct as its fields in order.
-type StoredState = (Option<Decider>, Option<LogId<u64>>, StoredMembership<u64, EmptyNode>);
+type StoredState = (Option<RolloutState>, Option<LogId<u64>>, StoredMembership<u64, EmptyNode>);
 
 #[test]
 fn recorded_snapshots_hold_the_rules_and_are_written_alike() {
@@ -274,10 +276,10 @@
         assert_eq!((last, &membership), (meta.last_log_id, &meta.last_membership));
         assert_eq!(membership.voter_ids().collect::<Vec<_>>(), VOTERS);
         let decider = decider.expect("founded");
-        assert_eq!(decider.in_force().0, SNAPSHOT.in_force);
+        assert_eq!(decider.active().0, SNAPSHOT.in_force);
         let documents: Vec<_> =
             decider.documents().map(|(number, document)| (number, document.clone())).collect();
         assert_eq!(documents, [(1, founding_document()), (2, proposed_document())]);
-        assert_eq!(decider.seats().map(|(name, _)| name).collect::<Vec<_>>(), ["v1", "v2", "v3"]);
+        assert_eq!(decider.members().map(|(name, _)| name).collect::<Vec<_>>(), ["v1", "v2", "v3"]);
     }
 }
--- a/crates/daemon/src/agreed.rs
+++ b/crates/daemon/src/agreed.rs
@@ -5,9 +5,9 @@
 use std::time::Instant;
 
 use hyper::header::HeaderValue;
-use nickelflow_control_plane::{Council, Told};
+use nickelflow_control_plane::{ActiveRules, ControlPlane};
 use nickelflow_engine::{hash, DegradedRules, Rules, WorkerRestriction};
-use nickelflow_rollout::{Step, Use, Version};
+use nickelflow_rollout::{RulesStep, Version, WorkerAccess};
 use tokio::sync::{mpsc, watch};
 use tracing::warn;
 
@@ -18,9 +18,9 @@
 
 /// Begins to agree with others, on a listener of its own.
 pub async fn begin(
-    settings: nickelflow_control_plane::Settings,
+    settings: nickelflow_control_plane::ControlPlaneConfig,
     address: SocketAddr,
-) -> Result<Council, String> {
+) -> Result<ControlPlane, String> {
     let failed = |e| format!("rules.listen: cannot listen on {address}: {e}");
     let listener = listen(address).await.and_then(tokio::net::TcpListener::into_std).map_err(failed)?;
     nickelflow_control_plane::start(settings, listener)
@@ -28,7 +28,7 @@
 
 /// Tells the core of each change, for as long as both run; many changes at once become one.
 pub async fn tell<P>(
-    mut told: watch::Receiver<Option<Told>>,
+    mut told: watch::Receiver<Option<ActiveRules>>,
     tenants: Vec<String>,
     queue: mpsc::UnboundedSender<Input<P>>,
 ) {
@@ -37,7 +37,9 @@
         let now = told.borrow_and_update().clone();
         let version = now.as_ref().map(|now| now.version);
         let agreed = match (now, &last) {
-            (Some(now), Some((of, last))) if *of == version => Agreed { until: now.until, ..last.clone() },
+            (Some(now), Some((of, last))) if *of == version => {
+                Agreed { until: now.lease_expiry, ..last.clone() }
+            }
             (Some(now), _) => of(&now, &tenants),
             // Before the first lease it has no part of anything.
             (None, _) => Agreed {
@@ -59,17 +61,17 @@
     HeaderValue::try_from(text).unwrap_or_else(|_| HeaderValue::from_static("none"))
 }
 
-fn of(told: &Told, tenants: &[String]) -> Agreed {
+fn of(told: &ActiveRules, tenants: &[String]) -> Agreed {
     Agreed {
         rules: Arc::new(rules(&told.step, tenants)),
-        until: told.until,
+        until: told.lease_expiry,
         version: text(told.version, false),
         careful: text(told.version, true),
     }
 }
 
 /// A step as the module takes it. What it says of tenants that the settings do not name concerns nobody here.
-fn rules(step: &Step, tenants: &[String]) -> Rules {
+fn rules(step: &RulesStep, tenants: &[String]) -> Rules {
     let number = |name: &String| tenants.iter().position(|tenant| tenant == name).map(|n| n as u32);
     let (mut limits, mut owners) = (std::collections::BTreeMap::new(), std::collections::BTreeSet::new());
     for (name, quota) in &step.quotas {
@@ -78,14 +80,14 @@
             None => warn!(tenant = name, "rules name a tenant that the settings do not"),
         }
     }
-    let workers = step.uses.iter().map(|(worker, put)| {
+    let workers = step.worker_access.iter().map(|(worker, put)| {
         let put = match put {
-            Use::None(nickelflow_rollout::Standing::Drained) => WorkerRestriction::Drained,
-            Use::None(nickelflow_rollout::Standing::Never) => WorkerRestriction::Excluded,
-            Use::None(_) => WorkerRestriction::Cordoned,
-            Use::Own(tenant) | Use::Reserved(tenant) => match number(tenant) {
+            WorkerAccess::Closed(nickelflow_rollout::WorkerState::Drained) => WorkerRestriction::Drained,
+            WorkerAccess::Closed(nickelflow_rollout::WorkerState::Excluded) => WorkerRestriction::Excluded,
+            WorkerAccess::Closed(_) => WorkerRestriction::Cordoned,
+            WorkerAccess::Exclusive(tenant) | WorkerAccess::Reserved(tenant) => match number(tenant) {
                 Some(number) => {
-                    if matches!(put, Use::Own(_)) {
+                    if matches!(put, WorkerAccess::Exclusive(_)) {
                         owners.insert(number);
                     }
                     WorkerRestriction::ReservedFor(number)
@@ -98,17 +100,22 @@
     let workers = workers.collect();
     let (least, most) = step.retry_after_ms;
     Rules {
-        quota_shares: step.parts,
-        max_attempts: step.attempts,
+        quota_shares: step.quota_shares,
+        max_attempts: step.max_attempts,
         retry_after: (u64::from(least) * MS, u64::from(most) * MS),
         tenant_rates_per_s: limits,
         worker_restrictions: workers,
         tenants_with_reserved_workers: owners,
         degraded: DegradedRules {
-            quota_share: step.careful.share,
-            allowed_workers: step.careful.workers.iter().map(|worker| hash(worker.as_bytes())).collect(),
-            allows_unlisted_workers: step.careful.others,
-            allows_unlimited_tenants: step.careful.unlimited,
+            quota_share: step.degraded.quota_share,
+            allowed_workers: step
+                .degraded
+                .allowed_workers
+                .iter()
+                .map(|worker| hash(worker.as_bytes()))
+                .collect(),
+            allows_unlisted_workers: step.degraded.allows_unlisted_workers,
+            allows_unlimited_tenants: step.degraded.allows_unlimited_tenants,
         },
     }
 }
--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -17,7 +17,7 @@
 use nickelflow_dispatcher::Idempotency;
 pub use nickelflow_engine::permits::Stop;
 use nickelflow_engine::permits::Violation;
-use nickelflow_engine::{Engine, Input as Happened, Instance, Job as Facts, Nanos, Order as Ordered};
+use nickelflow_engine::{Endpoint, Engine, Input as Happened, Job as Facts, Nanos, Output};
 use nickelflow_engine::{ListKind, LoadReport, Outcome, Rules, Settings, SettingsError};
 use tokio::sync::{mpsc, oneshot, watch};
 use tracing::{debug, warn};
@@ -27,11 +27,11 @@
 use crate::violations;
 
 /// How an execution ended.
-pub type End = nickelflow_engine::End<Bytes>;
+pub type End = nickelflow_engine::AttemptResult<Bytes>;
 /// The single final answer to a job.
-pub type Answer = nickelflow_engine::Answer<Bytes>;
+pub type Answer = nickelflow_engine::FinalAnswer<Bytes>;
 /// One entry of the list of instances.
-pub type Entry = Instance<SocketAddr>;
+pub type Entry = Endpoint<SocketAddr>;
 
 /// The engine's clock: monotonic, and far enough from its zero for what started long before the program.
 #[derive(Clone, Copy)]
@@ -215,10 +215,10 @@
 }
 
 /// Whether an order sends a job on or answers it.
-fn names(orders: &[Ordered<u64, Bytes>], job: u64) -> bool {
+fn names(orders: &[Output<u64, Bytes>], job: u64) -> bool {
     orders.iter().any(|order| match order {
-        Ordered::Execute(execute) => execute.id == job,
-        Ordered::Answer { id, .. } => *id == job,
+        Output::StartAttempt(execute) => execute.id == job,
+        Output::FinalAnswer { id, .. } => *id == job,
         _ => false,
     })
 }
@@ -234,7 +234,7 @@
     waiting: HashMap<u64, Waiting<P>>,
     /// The way to stop an execution, until it has ended.
     stops: HashMap<(u64, u32), watch::Sender<Stop>>,
-    orders: Vec<Ordered<u64, Bytes>>,
+    orders: Vec<Output<u64, Bytes>>,
     agreed: Option<Agreed>,
 }
 
@@ -292,14 +292,17 @@
                 let parcel = Arc::new(parcel);
                 self.waiting.insert(id, Waiting { request_id, parcel, repeats, answer });
                 let deadline = self.clock.at(deadline);
-                Happened::Job { id, job: Facts { class, tenant, slots, memory, key, retry, deadline } }
+                Happened::Job {
+                    id,
+                    job: Facts { class, tenant, slots, memory, key, is_retry: retry, deadline },
+                }
             }
             Input::Gone(id) => {
                 debug!(job = id, "client gone");
                 if self.waiting.remove(&id).is_some() {
                     self.counters.client_gone.add();
                 }
-                Happened::Gone { id }
+                Happened::ClientDisconnected { id }
             }
             Input::Progress { job, attempt } => {
                 debug!(job, attempt, "progress");
@@ -309,25 +312,25 @@
                 self.counters.ended(end.outcome);
                 debug!(job, attempt, outcome = ?end.outcome, "ended");
                 self.stops.remove(&(job, attempt));
-                Happened::Ended { id: job, attempt, end }
+                Happened::AttemptEnded { id: job, attempt, result: end }
             }
             Input::Probed { instance, outcome, report } => {
                 if outcome == Outcome::Ok {
                     self.counters.probes_ok.add();
                 }
-                Happened::Probed { instance, outcome, report }
+                Happened::ProbeCompleted { worker: instance, outcome, report }
             }
             Input::Agreed(agreed) => {
                 let (rules, until) = (agreed.rules.clone(), self.clock.at(agreed.until));
                 self.agreed = Some(agreed);
-                Happened::Rules { rules, until }
+                Happened::Rules { rules, valid_until: until }
             }
-            Input::Ending { by } => Happened::Ending { by: self.clock.at(by) },
+            Input::Ending { by } => Happened::Shutdown { deadline: self.clock.at(by) },
             Input::Listed { kind, entries } => {
                 if kind != ListKind::Stale {
                     self.counters.lists.add();
                 }
-                Happened::Listed { kind, instances: self.with_start_times(entries) }
+                Happened::WorkerList { kind, workers: self.with_start_times(entries) }
             }
         };
         self.handle(happened);
@@ -347,7 +350,7 @@
         let mut orders = std::mem::take(&mut self.orders);
         let now = self.clock.at(Instant::now());
         let wants_attempt = match &happened {
-            Happened::Job { id, .. } | Happened::Ended { id, .. } => Some(*id),
+            Happened::Job { id, .. } | Happened::AttemptEnded { id, .. } => Some(*id),
             _ => None,
         };
         if let Err(misuse) = self.engine.handle(now, happened, &mut orders) {
@@ -367,16 +370,16 @@
         self.orders = orders;
     }
 
-    fn carry(&mut self, order: Ordered<u64, Bytes>) {
+    fn carry(&mut self, order: Output<u64, Bytes>) {
         match order {
-            Ordered::Execute(execute) => self.execute(execute),
-            Ordered::Cancel { id, attempt } => {
+            Output::StartAttempt(execute) => self.execute(execute),
+            Output::Cancel { id, attempt } => {
                 if let Some(stop) = self.stops.get(&(id, attempt)) {
                     self.counters.cancels.add();
                     stop.send_replace(Stop::Now);
                 }
             }
-            Ordered::Withdraw { id, attempt } => {
+            Output::CancelUnstarted { id, attempt } => {
                 if let Some(stop) = self.stops.get(&(id, attempt)) {
                     stop.send_if_modified(|now| {
                         let before = *now == Stop::No;
@@ -387,33 +390,34 @@
                     });
                 }
             }
-            Ordered::Answer { id, answer } => {
-                debug!(job = id, answer = answer.word(), "answer");
+            Output::FinalAnswer { id, answer } => {
+                debug!(job = id, answer = answer.name(), "answer");
                 match answer {
                     Answer::Served(_) => self.counters.served.add(),
-                    Answer::Refused { .. } => self.counters.refused.add(),
+                    Answer::Rejected { .. } => self.counters.refused.add(),
                     Answer::Failed => self.counters.failed.add(),
                 }
                 if let Some(waiting) = self.waiting.remove(&id) {
                     let _ = waiting.answer.send(answer);
                 }
             }
-            Ordered::Probe { instance } => {
-                if let Some(known) = self.engine.instance(instance) {
+            Output::Probe { worker: instance } => {
+                if let Some(known) = self.engine.worker(instance) {
                     self.counters.probes.add();
                     (self.carry_out)(Order::Probe { instance, address: known.address });
                 }
             }
-            Ordered::Subscribe => {
+            Output::Subscribe => {
                 self.counters.watches.add();
                 (self.carry_out)(Order::Watch);
             }
         }
     }
 
-    fn execute(&mut self, execute: nickelflow_engine::Execute<u64>) {
-        let nickelflow_engine::Execute { id, attempt, instance, until, send_by } = execute;
-        let (Some(waiting), Some(known)) = (self.waiting.get(&id), self.engine.instance(instance)) else {
+    fn execute(&mut self, execute: nickelflow_engine::StartAttempt<u64>) {
+        let nickelflow_engine::StartAttempt { id, attempt, worker: instance, deadline: until, send_by } =
+            execute;
+        let (Some(waiting), Some(known)) = (self.waiting.get(&id), self.engine.worker(instance)) else {
             warn!(job = id, instance, "the engine names what the core does not know");
             return;
         };
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -28,7 +28,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use nickelflow_control_plane::Told;
+use nickelflow_control_plane::ActiveRules;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
 use tracing::info;
@@ -76,7 +76,7 @@
     listener: TcpListener,
     counters: Shared,
     shutdown: Shutdown,
-    told: Option<watch::Receiver<Option<Told>>>,
+    told: Option<watch::Receiver<Option<ActiveRules>>>,
 ) -> Result<(), String> {
     let (queue, inputs) = mpsc::unbounded_channel();
     let (ask, asked) = mpsc::unbounded_channel();
--- a/crates/daemon/src/list.rs
+++ b/crates/daemon/src/list.rs
@@ -70,7 +70,7 @@
         zone: number("zone", &names.zones)?,
         kind: number("type", &names.kinds)?,
         cell: field.opt("group")?.map_or(Ok(0), |cell| cell.whole())?,
-        membership,
+        status: membership,
         weight: field.opt("weight")?.map_or(Ok(1.0), |weight| weight.number())?,
         started: (since > 0).then(|| since.saturating_mul(1_000_000)),
     })
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -5,7 +5,7 @@
 
 use clap::Parser;
 use nickelflow_cli::{check, rules, status, Do, Failed, LogFormat, Options, RulesSettings, Settings};
-use nickelflow_control_plane::Council;
+use nickelflow_control_plane::ControlPlane;
 use nickelflow_daemon::config::{self, Config};
 use nickelflow_daemon::counters::Shared;
 use nickelflow_daemon::shutdown::{self, Signals, Terms};
@@ -14,15 +14,15 @@
 use tracing_subscriber::EnvFilter;
 
 /// Begins to agree with others on rules, under a name.
-async fn agree(settings: &RulesSettings, name: &str) -> Result<Council, String> {
+async fn agree(settings: &RulesSettings, name: &str) -> Result<ControlPlane, String> {
     let voting = settings.voter.zip(settings.data.clone());
-    let council = nickelflow_control_plane::Settings {
+    let council = nickelflow_control_plane::ControlPlaneConfig {
         fleet: settings.fleet.clone(),
         name: settings.name.clone().unwrap_or_else(|| name.to_owned()),
         voters: settings.voters()?,
-        voting: voting.map(|(id, data)| nickelflow_control_plane::Voting { id, data }),
-        terms: settings.terms()?,
-        honoured: settings.honoured()?,
+        voter: voting.map(|(id, data)| nickelflow_control_plane::VoterConfig { id, data_dir: data }),
+        lease: settings.terms()?,
+        local_lease: settings.honoured()?,
         build: env!("CARGO_PKG_VERSION").to_owned(),
     };
     nickelflow_daemon::agreed::begin(council, settings.listen).await
@@ -57,14 +57,14 @@
         trigger.pull().await;
         std::future::pending().await
     };
-    let told = council.as_ref().map(|council| council.told.clone());
+    let told = council.as_ref().map(|council| council.active_rules.clone());
     let served = tokio::select! {
         served = nickelflow_daemon::run(config, moved, listener, counters.clone(), stages, told) => served,
         failed = ending => failed,
     };
     info!("counters: {counters}");
     // Nothing is sent any more: another may have its seat.
-    council.into_iter().for_each(Council::end);
+    council.into_iter().for_each(ControlPlane::shut_down);
     served
 }
 
--- a/crates/daemon/src/service_client.rs
+++ b/crates/daemon/src/service_client.rs
@@ -146,10 +146,10 @@
         let request_id = job.parcel.request_id.clone();
         self.visit.prove(&request_id);
         let answer = self.entrance.submit(job).await;
-        debug!(client = self.visit.number, request = ?request_id, answer = answer.word(), "final answer");
+        debug!(client = self.visit.number, request = ?request_id, answer = answer.name(), "final answer");
         Ok(match answer {
             Answer::Served(result) => reply(StatusCode::OK, result),
-            Answer::Refused { retry_after } => refused(retry_after),
+            Answer::Rejected { retry_after } => refused(retry_after),
             Answer::Failed => reply(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
         })
     }
--- a/crates/daemon/tests/text_format.rs
+++ b/crates/daemon/tests/text_format.rs
@@ -42,7 +42,7 @@
     assert_eq!((known.index, known.snapshot), (41, true));
     assert!(known.skipped.is_empty());
     let memberships: Vec<(&str, WorkerStatus)> =
-        known.entries.iter().map(|entry| (entry.name.as_str(), entry.membership)).collect();
+        known.entries.iter().map(|entry| (entry.name.as_str(), entry.status)).collect();
     let expected = [("w1", WorkerStatus::Ready), ("w2", WorkerStatus::Draining), ("w3", WorkerStatus::Gone)];
     assert_eq!(memberships, expected);
     let full = &known.entries[0];
--- a/crates/dispatcher/src/interface.rs
+++ b/crates/dispatcher/src/interface.rs
@@ -269,7 +269,7 @@
 /// Rules on which dispatchers agree. Workers are named by `address_hash`, tenants by their index in the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Into how many even parts limits, and what a cold worker bears, are divided. Takes the place of the settings'
+    /// Into how many even parts tenant_rates_per_s, and what a cold worker bears, are divided. Takes the place of the settings'
     /// `dispatchers`.
     pub quota_shares: u32,
     /// Attempts that a request may have at most, beside what the settings allow.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -9,8 +9,8 @@
     WorkerEntry, WorkerId, WorkerStatus,
 };
 
-use crate::instances::{Instances, Known};
-use crate::interface::{Answer, End, Execute, Input, Job, Misuse, Order};
+use crate::instances::{Instances, KnownWorker};
+use crate::interface::{AttemptResult, EngineError, FinalAnswer, Input, Job, Output, StartAttempt};
 use crate::open_job::{Attempt, OpenJob, Standing};
 use crate::permits::{self, Act, AttemptFacts, Denial, Violation};
 
@@ -39,7 +39,7 @@
     actions: Vec<Action>,
     /// Events that carrying out the module's actions has led to: they come after those actions.
     follow_ups: VecDeque<Event>,
-    orders: Vec<Order<J, R>>,
+    orders: Vec<Output<J, R>>,
 }
 
 impl<J: Clone + Eq + Hash, A, R> Engine<J, A, R> {
@@ -68,12 +68,12 @@
     }
 
     /// The instance behind a number in an order.
-    pub fn instance(&self, number: u32) -> Option<&Known<A>> {
+    pub fn worker(&self, number: u32) -> Option<&KnownWorker<A>> {
         self.instances.get(number)
     }
 
     /// The number of an instance that has been listed under this name.
-    pub fn instance_number(&self, name: &str) -> Option<u32> {
+    pub fn worker_number(&self, name: &str) -> Option<u32> {
         self.instances.number(name)
     }
 
@@ -98,17 +98,17 @@
         &mut self,
         now: Nanos,
         input: Input<J, A, R>,
-        orders: &mut Vec<Order<J, R>>,
-    ) -> Result<(), Misuse> {
+        orders: &mut Vec<Output<J, R>>,
+    ) -> Result<(), EngineError> {
         self.now = self.now.max(now);
         let taken = self.take(input);
         orders.append(&mut self.orders);
         taken
     }
 
-    fn take(&mut self, input: Input<J, A, R>) -> Result<(), Misuse> {
+    fn take(&mut self, input: Input<J, A, R>) -> Result<(), EngineError> {
         match input {
-            Input::Listed { kind, instances } => {
+            Input::WorkerList { kind, workers: instances } => {
                 if matches!(kind, ListKind::Complete | ListKind::Cached) {
                     // What a whole list leaves out has gone.
                     self.instances.none_ready();
@@ -121,7 +121,7 @@
                 self.decide(Event::WorkerList { kind, entries });
             }
             Input::Job { id, job } => self.job(id, job)?,
-            Input::Gone { id } => {
+            Input::ClientDisconnected { id } => {
                 // It may cross the answer: then nothing is owed and the module has long ended it.
                 let Some(&number) = self.numbers.get(&id) else { return Ok(()) };
                 let Some(open) = self.open.get_mut(&number).filter(|open| !open.over) else { return Ok(()) };
@@ -139,13 +139,15 @@
                 }
             }
             Input::Streaming { id, attempt } => self.streaming(&id, attempt),
-            Input::Ended { id, attempt, end } => self.ended(&id, attempt, end)?,
-            Input::Probed { instance, outcome, report } => {
-                self.instances.get(instance).ok_or(Misuse::NoSuchInstance)?;
+            Input::AttemptEnded { id, attempt, result: end } => self.ended(&id, attempt, end)?,
+            Input::ProbeCompleted { worker: instance, outcome, report } => {
+                self.instances.get(instance).ok_or(EngineError::UnknownWorker)?;
                 self.decide(Event::ProbeCompleted { worker: WorkerId(instance), outcome, report });
             }
-            Input::Ending { by } => self.decide(Event::Shutdown { deadline: by }),
-            Input::Rules { rules, until } => self.decide(Event::Rules { rules, valid_until: until }),
+            Input::Shutdown { deadline: by } => self.decide(Event::Shutdown { deadline: by }),
+            Input::Rules { rules, valid_until: until } => {
+                self.decide(Event::Rules { rules, valid_until: until })
+            }
             Input::Wake => {
                 let mut due = false;
                 while self.wakes.peek().is_some_and(|at| at.0 <= self.now) {
@@ -180,9 +182,9 @@
         }
     }
 
-    fn job(&mut self, id: J, job: Job) -> Result<(), Misuse> {
+    fn job(&mut self, id: J, job: Job) -> Result<(), EngineError> {
         if self.numbers.contains_key(&id) {
-            return Err(Misuse::JobOpen);
+            return Err(EngineError::DuplicateJob);
         }
         let number = self.next;
         self.next += 1;
@@ -198,7 +200,7 @@
             memory: job.memory,
             key: job.key,
             time_left: job.deadline.saturating_sub(self.now),
-            is_retry: job.retry,
+            is_retry: job.is_retry,
         }));
         Ok(())
     }
@@ -216,21 +218,21 @@
         self.decide(Event::Streaming { request: RequestId(number), attempt });
     }
 
-    fn ended(&mut self, id: &J, attempt: u32, end: End<R>) -> Result<(), Misuse> {
-        let number = *self.numbers.get(id).ok_or(Misuse::NotOut)?;
-        let open = self.open.get_mut(&number).ok_or(Misuse::NotOut)?;
-        let ended = open.attempts.get_mut(attempt as usize).ok_or(Misuse::NotOut)?;
-        let End { outcome, result, report } = end;
-        let streamed = ended.end(outcome).ok_or(Misuse::NotOut)? == Standing::Streaming;
+    fn ended(&mut self, id: &J, attempt: u32, end: AttemptResult<R>) -> Result<(), EngineError> {
+        let number = *self.numbers.get(id).ok_or(EngineError::AttemptNotInFlight)?;
+        let open = self.open.get_mut(&number).ok_or(EngineError::AttemptNotInFlight)?;
+        let ended = open.attempts.get_mut(attempt as usize).ok_or(EngineError::AttemptNotInFlight)?;
+        let AttemptResult { outcome, result, report } = end;
+        let streamed = ended.end(outcome).ok_or(EngineError::AttemptNotInFlight)? == Standing::Streaming;
         let outcome = if outcome == Outcome::Ok && result.is_none() { Outcome::Error } else { outcome };
         let answer = match result.filter(|_| outcome == Outcome::Ok) {
-            Some(result) => Some(Answer::Served(result)),
+            Some(result) => Some(FinalAnswer::Served(result)),
             // What has begun to stream cannot be sent again.
-            None => streamed.then_some(Answer::Failed),
+            None => streamed.then_some(FinalAnswer::Failed),
         };
         if let Some(answer) = answer.filter(|_| !open.over) {
             open.over = true;
-            self.orders.push(Order::Answer { id: open.id.clone(), answer });
+            self.orders.push(Output::FinalAnswer { id: open.id.clone(), answer });
         }
         let finished = open.over;
         self.decide(Event::AttemptEnded { request: RequestId(number), attempt, outcome, finished, report });
@@ -261,13 +263,13 @@
                 let cancelled = open.attempts.get_mut(attempt as usize);
                 if let Some(cancelled) = cancelled.filter(|attempt| attempt.standing == Standing::Out) {
                     cancelled.standing = Standing::Cancelled;
-                    self.orders.push(Order::Cancel { id: open.id.clone(), attempt });
+                    self.orders.push(Output::Cancel { id: open.id.clone(), attempt });
                 }
             }
             Action::Reject { request, retry_after } => self.refuse(request.0, retry_after),
-            Action::Fail { request } => self.answer(request.0, Answer::Failed),
-            Action::Probe { worker } => self.orders.push(Order::Probe { instance: worker.0 }),
-            Action::Subscribe => self.orders.push(Order::Subscribe),
+            Action::Fail { request } => self.answer(request.0, FinalAnswer::Failed),
+            Action::Probe { worker } => self.orders.push(Output::Probe { worker: worker.0 }),
+            Action::Subscribe => self.orders.push(Output::Subscribe),
             Action::Wake { at } => self.wakes.push(Reverse(at)),
         }
     }
@@ -297,7 +299,13 @@
             return;
         }
         open.attempts.push(Attempt::ordered(worker, self.now));
-        self.orders.push(Order::Execute(Execute { id: open.id.clone(), attempt, instance, until, send_by }));
+        self.orders.push(Output::StartAttempt(StartAttempt {
+            id: open.id.clone(),
+            attempt,
+            worker: instance,
+            deadline: until,
+            send_by,
+        }));
     }
 
     /// Why an attempt must not be made, if it must not.
@@ -333,13 +341,16 @@
         let effect = self.class(open.class).map(|class| class.idempotency);
         let denial = effect.and_then(|effect| permits::refusal(effect, &open.earlier()).err());
         self.violations_found(number, Act::Refuse, denial);
-        self.answer(number, if denial.is_some() { Answer::Failed } else { Answer::Refused { retry_after } });
+        self.answer(
+            number,
+            if denial.is_some() { FinalAnswer::Failed } else { FinalAnswer::Rejected { retry_after } },
+        );
     }
 
-    fn answer(&mut self, number: u64, answer: Answer<R>) {
+    fn answer(&mut self, number: u64, answer: FinalAnswer<R>) {
         let Some(open) = self.open.get_mut(&number) else { return };
         if !std::mem::replace(&mut open.over, true) {
-            self.orders.push(Order::Answer { id: open.id.clone(), answer });
+            self.orders.push(Output::FinalAnswer { id: open.id.clone(), answer });
         }
         self.forget(number);
     }
--- a/crates/engine/src/instances.rs
+++ b/crates/engine/src/instances.rs
@@ -6,7 +6,7 @@
 
 /// One line of a list of instances, as the host has it.
 #[derive(Clone, Debug)]
-pub struct Instance<A> {
+pub struct Endpoint<A> {
     /// Its lasting name, the same at every scheduler. Instances are ranked for a key by a hash of it, never
     /// by their address, which may differ from scheduler to scheduler.
     pub name: String,
@@ -15,7 +15,7 @@
     pub kind: u32,
     /// The group of instances that drop each other's repeats.
     pub cell: u32,
-    pub membership: WorkerStatus,
+    pub status: WorkerStatus,
     /// Its registered size against others', above 0; 1 where none is told.
     pub weight: f64,
     /// When its process last started, on the engine's clock; `None` is long ago.
@@ -24,7 +24,7 @@
 
 /// What the engine knows of an instance.
 #[derive(Debug)]
-pub struct Known<A> {
+pub struct KnownWorker<A> {
     pub name: String,
     /// As last listed.
     pub address: A,
@@ -34,7 +34,7 @@
 }
 
 pub(crate) struct Instances<A> {
-    known: Vec<Known<A>>,
+    known: Vec<KnownWorker<A>>,
     numbers: HashMap<String, u32>,
 }
 
@@ -43,7 +43,7 @@
         Instances { known: Vec::new(), numbers: HashMap::new() }
     }
 
-    pub(crate) fn get(&self, number: u32) -> Option<&Known<A>> {
+    pub(crate) fn get(&self, number: u32) -> Option<&KnownWorker<A>> {
         self.known.get(number as usize)
     }
 
@@ -51,8 +51,8 @@
         self.numbers.get(name).copied()
     }
 
-    pub(crate) fn entry(&mut self, instance: Instance<A>) -> WorkerEntry {
-        let Instance { name, address, zone, kind, cell, membership, weight, started } = instance;
+    pub(crate) fn entry(&mut self, instance: Endpoint<A>) -> WorkerEntry {
+        let Endpoint { name, address, zone, kind, cell, status: membership, weight, started } = instance;
         let address_hash = crate::hash(name.as_bytes());
         let number = self.numbers.get(&name).copied().unwrap_or(self.known.len() as u32);
         let worker = WorkerId(number);
@@ -63,7 +63,7 @@
             Some(known) => (known.address, known.entry, known.ready) = (address, entry.clone(), ready),
             None => {
                 self.numbers.insert(name.clone(), number);
-                self.known.push(Known { name, address, entry: entry.clone(), ready });
+                self.known.push(KnownWorker { name, address, entry: entry.clone(), ready });
             }
         }
         entry
--- a/crates/engine/src/interface.rs
+++ b/crates/engine/src/interface.rs
@@ -5,7 +5,7 @@
 
 use nickelflow_dispatcher::{ListKind, LoadReport, Nanos, Outcome, Rules};
 
-use crate::instances::Instance;
+use crate::instances::Endpoint;
 
 /// A job as a host hands it in.
 #[derive(Clone, Debug)]
@@ -20,14 +20,14 @@
     /// [`hash`](crate::hash) of the name of the data that it needs.
     pub key: Option<u64>,
     /// The client says that it is repeating itself.
-    pub retry: bool,
+    pub is_retry: bool,
     /// When its client gives up.
     pub deadline: Nanos,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
-pub struct End<R> {
+pub struct AttemptResult<R> {
     pub outcome: Outcome,
     /// What the instance gave for the job. An [`Outcome::Ok`] without it cannot serve the job and counts as
     /// an [`Outcome::Error`].
@@ -36,9 +36,9 @@
     pub report: Option<LoadReport>,
 }
 
-impl<R> From<Outcome> for End<R> {
+impl<R> From<Outcome> for AttemptResult<R> {
     fn from(outcome: Outcome) -> Self {
-        End { outcome, result: None, report: None }
+        AttemptResult { outcome, result: None, report: None }
     }
 }
 
@@ -47,16 +47,16 @@
 pub enum Input<J, A, R> {
     /// A list of instances, or news of it. With [`ListKind::Failed`] and [`ListKind::Stale`] the entries are passed
     /// over; the latter withdraws whatever has not begun.
-    Listed {
+    WorkerList {
         kind: ListKind,
-        instances: Vec<Instance<A>>,
+        workers: Vec<Endpoint<A>>,
     },
     Job {
         id: J,
         job: Job,
     },
     /// The client will take no answer any more.
-    Gone {
+    ClientDisconnected {
         id: J,
     },
     /// A running attempt gave a sign of life.
@@ -69,25 +69,25 @@
         id: J,
         attempt: u32,
     },
-    Ended {
+    AttemptEnded {
         id: J,
         attempt: u32,
-        end: End<R>,
+        result: AttemptResult<R>,
     },
     /// The one answer to an [`Order::Probe`], or its time-out.
-    Probed {
-        instance: u32,
+    ProbeCompleted {
+        worker: u32,
         outcome: Outcome,
         report: Option<LoadReport>,
     },
     /// The scheduler is to end: all that is open by then is answered at this time, and what still comes too.
-    Ending {
-        by: Nanos,
+    Shutdown {
+        deadline: Nanos,
     },
     /// Rules that all schedulers agree on, in full until then; instances in them are named by [`hash`](crate::hash).
     Rules {
         rules: Arc<Rules>,
-        until: Nanos,
+        valid_until: Nanos,
     },
     /// [`Engine::next_wake`] has come.
     Wake,
@@ -95,35 +95,35 @@
 
 /// The single final answer to a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer<R> {
+pub enum FinalAnswer<R> {
     /// An instance's own result.
     Served(R),
     /// Turned away: to try again is harmless, best after this long (ns; 0 gives no advice).
-    Refused { retry_after: Nanos },
+    Rejected { retry_after: Nanos },
     /// Nothing is promised: it may have run.
     Failed,
 }
 
-impl<R> Answer<R> {
+impl<R> FinalAnswer<R> {
     /// What kind of answer it is, for logs.
-    pub fn word(&self) -> &'static str {
+    pub fn name(&self) -> &'static str {
         match self {
-            Answer::Served(_) => "served",
-            Answer::Refused { .. } => "refused",
-            Answer::Failed => "failed",
+            FinalAnswer::Served(_) => "served",
+            FinalAnswer::Rejected { .. } => "refused",
+            FinalAnswer::Failed => "failed",
         }
     }
 }
 
 /// One attempt to be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Execute<J> {
+pub struct StartAttempt<J> {
     pub id: J,
     pub attempt: u32,
     /// Number of the instance; [`Engine::instance`] tells its name and address.
-    pub instance: u32,
+    pub worker: u32,
     /// When it is to be given up as [`Outcome::Timeout`].
-    pub until: Nanos,
+    pub deadline: Nanos,
     /// What of it is not written by then must not be any more: as long as its last byte has not gone out, it ends as
     /// [`Outcome::NotSent`] then. [`Nanos::MAX`] where nothing bounds it.
     pub send_by: Nanos,
@@ -131,25 +131,25 @@
 
 /// What is to be done outside.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order<J, R> {
-    Execute(Execute<J>),
+pub enum Output<J, R> {
+    StartAttempt(StartAttempt<J>),
     Cancel {
         id: J,
         attempt: u32,
     },
-    Answer {
+    FinalAnswer {
         id: J,
-        answer: Answer<R>,
+        answer: FinalAnswer<R>,
     },
     /// The attempt must not begin any more: its instance leaves, or nobody waits for it. If no byte of it has
     /// gone out it ends as [`Outcome::NotSent`]; if one has, this changes nothing.
-    Withdraw {
+    CancelUnstarted {
         id: J,
         attempt: u32,
     },
     /// Ask an instance for its load; one [`Input::Probed`] is wanted.
     Probe {
-        instance: u32,
+        worker: u32,
     },
     /// Ask for the list and for all news of it; [`Input::Listed`] tells, with [`ListKind::Failed`] if that
     /// did not succeed or has ended.
@@ -158,23 +158,23 @@
 
 /// An input that cannot be: a host's mistake. It has changed nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Misuse {
+pub enum EngineError {
     /// A job under an id that is open already, or whose attempts have not all ended yet.
-    JobOpen,
+    DuplicateJob,
     /// The end of an attempt that is not out: it has ended before, or was never ordered.
-    NotOut,
+    AttemptNotInFlight,
     /// A probe's answer for an instance that was never listed.
-    NoSuchInstance,
+    UnknownWorker,
 }
 
-impl fmt::Display for Misuse {
+impl fmt::Display for EngineError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Misuse::JobOpen => "a job under an id that is open already",
-            Misuse::NotOut => "an end of an attempt that is not out",
-            Misuse::NoSuchInstance => "a probe's answer for an instance that was never listed",
+            EngineError::DuplicateJob => "a job under an id that is open already",
+            EngineError::AttemptNotInFlight => "an end of an attempt that is not out",
+            EngineError::UnknownWorker => "a probe's answer for an instance that was never listed",
         })
     }
 }
 
-impl std::error::Error for Misuse {}
+impl std::error::Error for EngineError {}
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -47,8 +47,8 @@
 pub mod permits;
 
 pub use engine::Engine;
-pub use instances::{Instance, Known};
-pub use interface::{Answer, End, Execute, Input, Job, Misuse, Order};
+pub use instances::{Endpoint, KnownWorker};
+pub use interface::{AttemptResult, EngineError, FinalAnswer, Input, Job, Output, StartAttempt};
 pub use nickelflow_dispatcher::{DegradedRules, Rules, WorkerRestriction};
 pub use nickelflow_dispatcher::{
     ListKind, LoadReport, Nanos, Outcome, Settings, SettingsError, WorkerStatus,
--- a/crates/engine/src/open_job.rs
+++ b/crates/engine/src/open_job.rs
@@ -2,7 +2,7 @@
 
 use nickelflow_dispatcher::{Nanos, Outcome, WorkerEntry};
 
-use crate::interface::Order;
+use crate::interface::Output;
 use crate::permits::EarlierAttempt;
 
 /// How an attempt stands.
@@ -80,10 +80,10 @@
     }
 
     /// Withdraws those of its attempts that are out to certain workers.
-    pub(crate) fn withdraw<R>(&self, from: impl Fn(u32) -> bool, orders: &mut Vec<Order<J, R>>) {
+    pub(crate) fn withdraw<R>(&self, from: impl Fn(u32) -> bool, orders: &mut Vec<Output<J, R>>) {
         let attempts = self.attempts.iter().enumerate();
         let out = attempts
             .filter(|(_, attempt)| attempt.standing == Standing::Out && from(attempt.worker.worker.0));
-        orders.extend(out.map(|(n, _)| Order::Withdraw { id: self.id.clone(), attempt: n as u32 }));
+        orders.extend(out.map(|(n, _)| Output::CancelUnstarted { id: self.id.clone(), attempt: n as u32 }));
     }
 }
--- a/crates/engine/tests/promises.rs
+++ b/crates/engine/tests/promises.rs
@@ -4,8 +4,8 @@
 
 use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, ServiceLimits};
 use nickelflow_engine::{
-    hash, Answer, End, Engine, Execute, Input, Instance, Job, ListKind, LoadReport, Misuse, Nanos, Order,
-    Outcome, Settings, WorkerStatus,
+    hash, AttemptResult, Endpoint, Engine, EngineError, FinalAnswer, Input, Job, ListKind, LoadReport, Nanos,
+    Outcome, Output, Settings, StartAttempt, WorkerStatus,
 };
 use proptest::prelude::*;
 
@@ -50,13 +50,22 @@
     }
 }
 
-fn instance(number: u32, membership: WorkerStatus) -> Instance<()> {
+fn instance(number: u32, membership: WorkerStatus) -> Endpoint<()> {
     let name = format!("i{number}");
-    Instance { name, address: (), zone: 0, kind: 0, cell: number / 2, membership, weight: 1.0, started: None }
+    Endpoint {
+        name,
+        address: (),
+        zone: 0,
+        kind: 0,
+        cell: number / 2,
+        status: membership,
+        weight: 1.0,
+        started: None,
+    }
 }
 
 fn job(deadline: Nanos) -> Job {
-    Job { class: 0, tenant: None, slots: 1.0, memory: 0.0, key: Some(hash(b"k")), retry: false, deadline }
+    Job { class: 0, tenant: None, slots: 1.0, memory: 0.0, key: Some(hash(b"k")), is_retry: false, deadline }
 }
 
 fn report(free: f64) -> Option<LoadReport> {
@@ -67,7 +76,7 @@
 struct Host {
     engine: Hosted,
     now: Nanos,
-    orders: Vec<Order<u16, u32>>,
+    orders: Vec<Output<u16, u32>>,
     /// Each job taken: its deadline, how often it was answered, whether its client left.
     jobs: HashMap<u16, (Nanos, u32, bool)>,
     out: Vec<(u16, u32)>,
@@ -91,43 +100,45 @@
             most: 3,
         };
         let instances = (0..4).map(|n| instance(n, WorkerStatus::Ready)).collect();
-        host.give(Input::Listed { kind: ListKind::Complete, instances }).expect("a list");
+        host.give(Input::WorkerList { kind: ListKind::Complete, workers: instances }).expect("a list");
         host
     }
 
-    fn give(&mut self, input: Input<u16, (), u32>) -> Result<(), Misuse> {
+    fn give(&mut self, input: Input<u16, (), u32>) -> Result<(), EngineError> {
         let result = self.engine.handle(self.now, input, &mut self.orders);
         let violations = self.engine.take_violations();
         assert!(violations.is_empty(), "{violations:?}");
         for order in std::mem::take(&mut self.orders) {
             match order {
-                Order::Execute(Execute { id, attempt, instance, until, .. }) => {
+                Output::StartAttempt(StartAttempt {
+                    id, attempt, worker: instance, deadline: until, ..
+                }) => {
                     let (deadline, answers, gone) = self.jobs[&id];
                     assert!(answers == 0 && !gone, "an attempt for a job that is over");
                     assert!(until > self.now && until <= deadline);
-                    assert!(self.engine.instance(instance).is_some());
+                    assert!(self.engine.worker(instance).is_some());
                     let next = self.attempts.entry(id).or_default();
                     assert_eq!(attempt, *next);
                     *next += 1;
                     assert!(*next <= self.most);
                     self.out.push((id, attempt));
                 }
-                Order::Cancel { id, attempt } => {
+                Output::Cancel { id, attempt } => {
                     assert!(self.out.contains(&(id, attempt)), "a cancel of what is not out");
                     assert!(self.cancelled.insert((id, attempt)), "a second cancel");
                 }
-                Order::Withdraw { id, attempt } => {
+                Output::CancelUnstarted { id, attempt } => {
                     assert!(self.out.contains(&(id, attempt)), "a withdrawal of what is not out");
                 }
-                Order::Answer { id, .. } => {
+                Output::FinalAnswer { id, .. } => {
                     let (deadline, answers, gone) = self.jobs.get_mut(&id).expect("a job");
                     assert!(!*gone, "an answer to nobody");
                     *answers += 1;
                     assert_eq!(*answers, 1, "a second answer");
                     assert!(self.now <= *deadline + 2 * MS, "a late answer");
                 }
-                Order::Probe { instance } => self.probes.push(instance),
-                Order::Subscribe => {}
+                Output::Probe { worker: instance } => self.probes.push(instance),
+                Output::Subscribe => {}
             }
         }
         result
@@ -147,10 +158,18 @@
         }
         let (id, attempt) = self.out.swap_remove(pick % self.out.len());
         let result = (outcome == Outcome::Ok).then_some(7);
-        self.give(Input::Ended { id, attempt, end: End { outcome, result, report: None } }).expect("its end");
+        self.give(Input::AttemptEnded {
+            id,
+            attempt,
+            result: AttemptResult { outcome, result, report: None },
+        })
+        .expect("its end");
         // The same end once more is a mistake that changes nothing.
-        let end = End { outcome: Outcome::Ok, result: Some(8), report: None };
-        assert_eq!(self.give(Input::Ended { id, attempt, end }), Err(Misuse::NotOut));
+        let end = AttemptResult { outcome: Outcome::Ok, result: Some(8), report: None };
+        assert_eq!(
+            self.give(Input::AttemptEnded { id, attempt, result: end }),
+            Err(EngineError::AttemptNotInFlight)
+        );
     }
 }
 
@@ -212,7 +231,7 @@
                     let (_, answers, gone) = host.jobs[&id];
                     if answers == 0 && !gone || host.out.iter().any(|(job, _)| *job == id) {
                         let again = Input::Job { id, job: job(host.now + left * MS) };
-                        prop_assert_eq!(host.give(again), Err(Misuse::JobOpen));
+                        prop_assert_eq!(host.give(again), Err(EngineError::DuplicateJob));
                     }
                 }
                 Step::Job(id, left) => {
@@ -237,24 +256,24 @@
                     if let Some((_, 0, gone)) = host.jobs.get_mut(&id) {
                         *gone = true;
                     }
-                    host.give(Input::Gone { id }).expect("a client that leaves");
+                    host.give(Input::ClientDisconnected { id }).expect("a client that leaves");
                 }
                 Step::Probe(free) => {
                     if let Some(instance) = host.probes.pop() {
                         let outcome = if free == 5 { Outcome::Timeout } else { Outcome::Ok };
                         let report = report(f64::from(free));
-                        host.give(Input::Probed { instance, outcome, report }).expect("a probe's end");
+                        host.give(Input::ProbeCompleted { worker: instance, outcome, report }).expect("a probe's end");
                     }
                 }
                 Step::Pass(ms) => host.pass(host.now + ms * MS),
                 Step::List(n, ready) => {
                     let membership = if ready { WorkerStatus::Ready } else { WorkerStatus::Draining };
                     let instances = vec![instance(n, membership)];
-                    host.give(Input::Listed { kind: ListKind::Changes, instances }).expect("news");
+                    host.give(Input::WorkerList { kind: ListKind::Changes, workers: instances }).expect("news");
                 }
                 Step::Ending => {
                     let by = host.now + 200 * MS;
-                    host.give(Input::Ending { by }).expect("an end");
+                    host.give(Input::Shutdown { deadline: by }).expect("an end");
                 }
                 Step::Progress(_) | Step::Stream(_) => {}
             }
@@ -274,7 +293,7 @@
     let mut host = Host::new(Idempotency::Idempotent);
     host.pass(host.now + 100 * MS);
     for instance in std::mem::take(&mut host.probes) {
-        host.give(Input::Probed { instance, outcome: Outcome::Ok, report: report(4.0) })
+        host.give(Input::ProbeCompleted { worker: instance, outcome: Outcome::Ok, report: report(4.0) })
             .expect("a probe's end");
     }
     let deadline = host.now + 900 * MS;
@@ -288,7 +307,7 @@
 fn an_ok_without_a_result_serves_nobody() {
     let mut host = sent();
     host.out.clear();
-    host.give(Input::Ended { id: 1, attempt: 0, end: Outcome::Ok.into() }).expect("an end");
+    host.give(Input::AttemptEnded { id: 1, attempt: 0, result: Outcome::Ok.into() }).expect("an end");
     assert_eq!(host.jobs[&1].1, 0);
     assert_eq!(host.out, [(1, 1)], "it is tried again");
 }
@@ -302,8 +321,10 @@
     assert_eq!(host.jobs[&1].1, 0, "a stream has no deadline");
     let end = Outcome::Reset.into();
     let mut orders = vec![];
-    host.engine.handle(host.now, Input::Ended { id: 1, attempt: 0, end }, &mut orders).expect("an end");
-    assert_eq!(orders.first(), Some(&Order::Answer { id: 1, answer: Answer::Failed }));
+    host.engine
+        .handle(host.now, Input::AttemptEnded { id: 1, attempt: 0, result: end }, &mut orders)
+        .expect("an end");
+    assert_eq!(orders.first(), Some(&Output::FinalAnswer { id: 1, answer: FinalAnswer::Failed }));
     assert_eq!(host.engine.open_jobs(), 0);
 }
 
@@ -311,9 +332,9 @@
 fn two_events_of_one_moment_are_taken_in_their_order() {
     let mut host = sent();
     // The result and the client's leaving, at the same nanosecond: whichever is given first counts.
-    let end = End { outcome: Outcome::Ok, result: Some(3), report: None };
-    host.give(Input::Ended { id: 1, attempt: 0, end }).expect("an end");
-    host.give(Input::Gone { id: 1 }).expect("passed over");
+    let end = AttemptResult { outcome: Outcome::Ok, result: Some(3), report: None };
+    host.give(Input::AttemptEnded { id: 1, attempt: 0, result: end }).expect("an end");
+    host.give(Input::ClientDisconnected { id: 1 }).expect("passed over");
     assert_eq!(host.jobs[&1].1, 1);
 }
 
@@ -327,7 +348,7 @@
             let at = engine.next_wake().expect("it wakes until all is answered");
             engine.handle(at, Input::Wake, &mut orders).expect("a wake");
         }
-        assert!(matches!(orders[..], [Order::Answer { id: 1, .. }]), "{orders:?}");
+        assert!(matches!(orders[..], [Output::FinalAnswer { id: 1, .. }]), "{orders:?}");
     }
 }
 
@@ -344,28 +365,35 @@
     let mut engine = Engine::<u64, (), ()>::new(settings, 1).expect("sound settings");
     let mut orders = Vec::new();
     let mut listed = |engine: &mut Engine<u64, (), ()>, kind, membership| {
-        let instance = Instance {
+        let instance = Endpoint {
             name: "a".to_owned(),
             address: (),
             zone: 0,
             kind: 0,
             cell: 0,
-            membership,
+            status: membership,
             weight: 1.0,
             started: None,
         };
-        let listed = Input::Listed { kind, instances: vec![instance] };
+        let listed = Input::WorkerList { kind, workers: vec![instance] };
         orders.clear();
         engine.handle(1, listed, &mut orders).expect("a list");
         orders
             .iter()
-            .filter_map(|o| if let Order::Withdraw { id, .. } = o { Some(*id) } else { None })
+            .filter_map(|o| if let Output::CancelUnstarted { id, .. } = o { Some(*id) } else { None })
             .collect()
     };
     let none: Vec<u64> = listed(&mut engine, ListKind::Complete, WorkerStatus::Ready);
     assert!(none.is_empty());
-    let job =
-        Job { class: 0, tenant: None, slots: 0.01, memory: 0.0, key: None, retry: false, deadline: 1 << 40 };
+    let job = Job {
+        class: 0,
+        tenant: None,
+        slots: 0.01,
+        memory: 0.0,
+        key: None,
+        is_retry: false,
+        deadline: 1 << 40,
+    };
     for id in 0..40 {
         engine.handle(1, Input::Job { id, job: job.clone() }, &mut Vec::new()).expect("a job");
     }
--- a/crates/engine/tests/windows.rs
+++ b/crates/engine/tests/windows.rs
@@ -6,7 +6,7 @@
 
 use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, ServiceLimits, Settings};
 use nickelflow_engine::{
-    Engine, Execute, Input, Instance, Job, ListKind, LoadReport, Nanos, Order, Outcome, WorkerStatus,
+    Endpoint, Engine, Input, Job, ListKind, LoadReport, Nanos, Outcome, Output, StartAttempt, WorkerStatus,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -53,14 +53,14 @@
 }
 
 /// The groups change under one name with `shift`, as where another worker takes a name over.
-fn instances(count: u32, shift: u32) -> Vec<Instance<()>> {
-    let instance = |n: u32| Instance {
+fn instances(count: u32, shift: u32) -> Vec<Endpoint<()>> {
+    let instance = |n: u32| Endpoint {
         name: format!("i{n}"),
         address: (),
         zone: (n + shift) / 2 % 2,
         kind: 0,
         cell: (n + shift) / 2,
-        membership: WorkerStatus::Ready,
+        status: WorkerStatus::Ready,
         weight: 1.0,
         started: None,
     };
@@ -112,12 +112,12 @@
     let mut engine: Engine<u32, (), ()> = Engine::new(settings(window, connect, group), 7).expect("settings");
     let (mut now, mut orders, mut reached) = (S, vec![], vec![]);
     let mut later: Vec<(Nanos, Input<u32, (), ()>)> = vec![];
-    later.push((now, Input::Listed { kind: ListKind::Complete, instances: instances(6, 0) }));
+    later.push((now, Input::WorkerList { kind: ListKind::Complete, workers: instances(6, 0) }));
     let job =
-        Job { class: 0, tenant: None, slots: 1.0, memory: 0.0, key: None, retry: false, deadline: 60 * S };
+        Job { class: 0, tenant: None, slots: 1.0, memory: 0.0, key: None, is_retry: false, deadline: 60 * S };
     later.push((2 * S, Input::Job { id: 1, job }));
     if let Some(at) = shift_at {
-        later.push((2 * S + at, Input::Listed { kind: ListKind::Complete, instances: instances(6, 1) }));
+        later.push((2 * S + at, Input::WorkerList { kind: ListKind::Complete, workers: instances(6, 1) }));
     }
     let mut ways = ways.iter();
     loop {
@@ -129,11 +129,20 @@
         engine.handle(now, input, &mut orders).expect("no misuse");
         for order in orders.drain(..) {
             match order {
-                Order::Probe { instance } => {
+                Output::Probe { worker: instance } => {
                     let report = Some(LoadReport { free_slots: Some(4.0), ..LoadReport::default() });
-                    later.push((now + MS, Input::Probed { instance, outcome: Outcome::Ok, report }));
+                    later.push((
+                        now + MS,
+                        Input::ProbeCompleted { worker: instance, outcome: Outcome::Ok, report },
+                    ));
                 }
-                Order::Execute(Execute { id, attempt, instance, until, send_by }) => {
+                Output::StartAttempt(StartAttempt {
+                    id,
+                    attempt,
+                    worker: instance,
+                    deadline: until,
+                    send_by,
+                }) => {
                     let Some(way) = ways.next() else { return reached };
                     let of = |part: u64, longest: Nanos| longest / 1_000 * part;
                     // The first byte goes out after these, if it is not too late by then.
@@ -157,9 +166,12 @@
                         });
                         (ends.min(until).max(now), outcome)
                     };
-                    later.push((at, Input::Ended { id, attempt, end: outcome.into() }));
+                    later.push((at, Input::AttemptEnded { id, attempt, result: outcome.into() }));
                 }
-                Order::Answer { .. } | Order::Cancel { .. } | Order::Withdraw { .. } | Order::Subscribe => {}
+                Output::FinalAnswer { .. }
+                | Output::Cancel { .. }
+                | Output::CancelUnstarted { .. }
+                | Output::Subscribe => {}
             }
         }
     }
--- a/crates/rollout/src/decider.rs
+++ b/crates/rollout/src/decider.rs
@@ -5,9 +5,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::document::Document;
+use crate::document::RulesDocument;
 use crate::plan::plan;
-use crate::step::{Contradiction, Step};
+use crate::step::{Contradiction, RulesStep};
 use crate::Version;
 
 /// Documents that a roll-back may go to.
@@ -18,70 +18,74 @@
 /// Why a command has changed nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Refused {
+pub enum CommandError {
     /// Somebody else proposed first: the newest proposal is of this number.
-    Changed(u64),
+    Conflict(u64),
     /// No document of this number is kept.
-    Unknown(u64),
+    UnknownProposal(u64),
     /// All seats are taken.
-    Full,
+    MembershipFull,
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Changed(now) => {
+            CommandError::Conflict(now) => {
                 write!(f, "the rules have changed meanwhile: the newest are proposal {now}")
             }
-            Refused::Unknown(number) => write!(f, "proposal {number} is not kept"),
-            Refused::Full => write!(f, "all seats are taken"),
+            CommandError::UnknownProposal(number) => write!(f, "proposal {number} is not kept"),
+            CommandError::MembershipFull => write!(f, "all seats are taken"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for CommandError {}
 
 /// Why the next step is not in force yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Waits {
+pub enum BlockedBy {
     /// More sit at the table than the next step has seats.
-    Seats,
+    MemberLimit,
     /// This one may be cut off and act on careful rules that the next step contradicts.
-    CutOff(String, Contradiction),
+    DegradedMember(String, Contradiction),
     /// Too many steps are kept for this one.
-    Behind(String),
+    LaggingMember(String),
 }
 
-impl fmt::Display for Waits {
+impl fmt::Display for BlockedBy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Waits::Seats => write!(f, "more schedulers sit at the table than the next step has seats"),
-            Waits::CutOff(who, why) => write!(f, "{who} may be cut off and act carefully, and {why}"),
-            Waits::Behind(who) => write!(f, "{who} is too many steps behind"),
+            BlockedBy::MemberLimit => {
+                write!(f, "more schedulers sit at the table than the next step has seats")
+            }
+            BlockedBy::DegradedMember(who, why) => {
+                write!(f, "{who} may be cut off and act carefully, and {why}")
+            }
+            BlockedBy::LaggingMember(who) => write!(f, "{who} is too many steps behind"),
         }
     }
 }
 
 /// The rules in force, those on their way, and who sits at the table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Decider {
+pub struct RolloutState {
     version: Version,
     /// The steps from the earliest that somebody may still act on to the one in force.
-    steps: VecDeque<(Version, Step)>,
-    next: VecDeque<Step>,
+    steps: VecDeque<(Version, RulesStep)>,
+    next: VecDeque<RulesStep>,
     /// By number, the newest last.
-    documents: VecDeque<(u64, Document)>,
+    documents: VecDeque<(u64, RulesDocument)>,
     /// Who holds a seat, and the earliest version that it may still act on, carefully.
     seats: BTreeMap<String, Version>,
 }
 
-impl Decider {
+impl RolloutState {
     /// The first rules; nobody sits at the table.
-    pub fn new(document: Document) -> Decider {
+    pub fn new(document: RulesDocument) -> RolloutState {
         let version = Version { term: 0, number: 1 };
-        Decider {
+        RolloutState {
             version,
-            steps: VecDeque::from([(version, Step::of(&document))]),
+            steps: VecDeque::from([(version, RulesStep::of(&document))]),
             next: VecDeque::new(),
             documents: VecDeque::from([(1, document)]),
             seats: BTreeMap::new(),
@@ -89,18 +93,18 @@
     }
 
     /// The version in force and what it says.
-    pub fn in_force(&self) -> (Version, &Step) {
+    pub fn active(&self) -> (Version, &RulesStep) {
         let (version, step) = &self.steps[self.steps.len() - 1];
         (*version, step)
     }
 
     /// Steps that are on their way.
-    pub fn coming(&self) -> usize {
+    pub fn pending_steps(&self) -> usize {
         self.next.len()
     }
 
     /// Proposals that are kept, by number, the newest last.
-    pub fn documents(&self) -> impl Iterator<Item = (u64, &Document)> {
+    pub fn documents(&self) -> impl Iterator<Item = (u64, &RulesDocument)> {
         self.documents.iter().map(|(number, document)| (*number, document))
     }
 
@@ -109,17 +113,17 @@
     }
 
     /// Who sits at the table, and the earliest version that each may still act on.
-    pub fn seats(&self) -> impl Iterator<Item = (&str, Version)> {
+    pub fn members(&self) -> impl Iterator<Item = (&str, Version)> {
         self.seats.iter().map(|(name, version)| (name.as_str(), *version))
     }
 
     /// Somebody wants a document in force who knows proposal `base` as the newest. What was on its way to an older one
     /// is given up where it stands: the way goes on from the step in force. Tells the proposal's number.
-    pub fn propose(&mut self, base: u64, document: Document) -> Result<u64, Refused> {
+    pub fn propose(&mut self, base: u64, document: RulesDocument) -> Result<u64, CommandError> {
         if base != self.newest() {
-            return Err(Refused::Changed(self.newest()));
+            return Err(CommandError::Conflict(self.newest()));
         }
-        self.next = plan(self.in_force().1, &document).into();
+        self.next = plan(self.active().1, &document).into();
         let number = base + 1;
         self.documents.push_back((number, document));
         if self.documents.len() > KEPT {
@@ -129,30 +133,30 @@
     }
 
     /// An earlier proposal is wanted again: it becomes the newest.
-    pub fn roll_back(&mut self, base: u64, to: u64) -> Result<u64, Refused> {
+    pub fn roll_back(&mut self, base: u64, to: u64) -> Result<u64, CommandError> {
         let kept = self.documents.iter().find(|(number, _)| *number == to);
-        let document = kept.map(|(_, document)| document.clone()).ok_or(Refused::Unknown(to))?;
+        let document = kept.map(|(_, document)| document.clone()).ok_or(CommandError::UnknownProposal(to))?;
         self.propose(base, document)
     }
 
     /// A scheduler wants a seat; one that has it keeps it.
-    pub fn sit(&mut self, name: &str) -> Result<(), Refused> {
-        if self.may_sit(name)? {
+    pub fn join(&mut self, name: &str) -> Result<(), CommandError> {
+        if self.can_join(name)? {
             self.seats.insert(name.to_owned(), self.version);
         }
         Ok(())
     }
 
     /// Whether a scheduler would take a seat, and does not have it; the error is that there is none.
-    pub fn may_sit(&self, name: &str) -> Result<bool, Refused> {
+    pub fn can_join(&self, name: &str) -> Result<bool, CommandError> {
         if self.seats.contains_key(name) {
             return Ok(false);
         }
         // Where there are to be fewer, the others must not have to wait for one that came meanwhile.
-        let seats = self.next.iter().map(|step| step.seats).fold(self.in_force().1.seats, u32::min);
+        let seats = self.next.iter().map(|step| step.max_members).fold(self.active().1.max_members, u32::min);
         match self.seats.len() < seats as usize {
             true => Ok(true),
-            false => Err(Refused::Full),
+            false => Err(CommandError::MembershipFull),
         }
     }
 
@@ -163,10 +167,10 @@
     }
 
     /// What the next step waits for beside leases, if schedulers have told that they have these versions.
-    pub fn waits(&self, has: &BTreeMap<String, Version>) -> Option<Waits> {
+    pub fn blocked_by(&self, has: &BTreeMap<String, Version>) -> Option<BlockedBy> {
         let next = self.next.front()?;
-        if self.seats.len() > next.seats as usize {
-            return Some(Waits::Seats);
+        if self.seats.len() > next.max_members as usize {
+            return Some(BlockedBy::MemberLimit);
         }
         for (name, earliest) in &self.seats {
             let earliest = has.get(name).copied().unwrap_or_default().max(*earliest);
@@ -174,11 +178,11 @@
             // The one in force too: its holder may be cut off before it hears of the next.
             for (_, step) in may {
                 if let Some(why) = step.careful_contradicts(next) {
-                    return Some(Waits::CutOff(name.clone(), why));
+                    return Some(BlockedBy::DegradedMember(name.clone(), why));
                 }
             }
             if earliest < self.version && self.steps.len() >= MOST_STEPS {
-                return Some(Waits::Behind(name.clone()));
+                return Some(BlockedBy::LaggingMember(name.clone()));
             }
         }
         None
@@ -188,7 +192,7 @@
     /// holder can have a lease on an earlier version than the one in force; `has` is what they have told. Tells the
     /// new version.
     pub fn advance(&mut self, term: u64, has: &BTreeMap<String, Version>) -> Option<Version> {
-        if self.waits(has).is_some() {
+        if self.blocked_by(has).is_some() {
             return None;
         }
         let step = self.next.pop_front()?;
--- a/crates/rollout/src/document.rs
+++ b/crates/rollout/src/document.rs
@@ -4,22 +4,22 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::toml_faults::{Fault, Reader};
+use crate::toml_faults::{DocumentError, TomlReader};
 
 /// Tenants and workers that a document may name, at most.
-pub const MOST_TENANTS: usize = 10_000;
-pub const MOST_WORKERS: usize = 20_000;
+pub const MAX_TENANTS: usize = 10_000;
+pub const MAX_WORKERS: usize = 20_000;
 
 /// How the operator has set a worker apart; one that is not named is open to all.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum WorkerState {
     /// Finishes what it has and gets nothing new.
     Cordoned,
     /// The same, and what has not started is called back.
     Drained,
     /// Not even probed.
-    Never,
+    Excluded,
     /// Only this tenant's jobs, which in turn go to no other worker.
     Pinned(String),
 }
@@ -27,65 +27,70 @@
 /// What a scheduler may do whose lease has lapsed, for as long as it stays cut off: its part of each limit times this,
 /// and only these workers. A change that takes any of it away waits until nobody is cut off that may still do it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Careful {
+pub struct Degraded {
     /// From 0 to 1.
-    pub share: f64,
-    pub workers: BTreeSet<String>,
+    pub quota_share: f64,
+    pub allowed_workers: BTreeSet<String>,
     /// Also all workers that no rule names, and tenants that have no limit.
-    pub others: bool,
-    pub unlimited: bool,
+    pub allows_unlisted_workers: bool,
+    pub allows_unlimited_tenants: bool,
 }
 
-impl Default for Careful {
+impl Default for Degraded {
     /// All that a change may take away: it goes on serving, and changes wait for it.
     fn default() -> Self {
-        Careful { share: 1.0, workers: BTreeSet::new(), others: true, unlimited: true }
+        Degraded {
+            quota_share: 1.0,
+            allowed_workers: BTreeSet::new(),
+            allows_unlisted_workers: true,
+            allows_unlimited_tenants: true,
+        }
     }
 }
 
 /// The rules that an operator wants in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Document {
+pub struct RulesDocument {
     /// Schedulers that share the limits; each has an even part.
     pub schedulers: u32,
     /// Attempts that a request may have, at most.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Shortest and longest Retry-After (ms).
     pub retry_after_ms: (u32, u32),
     /// Each tenant's requests a second at all schedulers together.
     pub quotas: BTreeMap<String, f64>,
-    pub workers: BTreeMap<String, Standing>,
-    pub careful: Careful,
+    pub workers: BTreeMap<String, WorkerState>,
+    pub degraded: Degraded,
     /// The version of the list of workers that keys are placed by.
-    pub list: u64,
+    pub list_version: u64,
 }
 
-impl Default for Document {
+impl Default for RulesDocument {
     /// One scheduler, no limits but the least of each, nobody set apart.
     fn default() -> Self {
-        Document {
+        RulesDocument {
             schedulers: 1,
-            attempts: 4,
+            max_attempts: 4,
             retry_after_ms: (0, 2_000),
             quotas: BTreeMap::new(),
             workers: BTreeMap::new(),
-            careful: Careful::default(),
-            list: 0,
+            degraded: Degraded::default(),
+            list_version: 0,
         }
     }
 }
 
-impl Document {
+impl RulesDocument {
     /// The document as a text that reads back to the same.
     pub fn write(&self) -> String {
         use toml::{Table, Value};
         let text = |text: &String| Value::String(text.clone());
-        let worker = |standing: &Standing| {
+        let worker = |standing: &WorkerState| {
             let (word, tenant) = match standing {
-                Standing::Cordoned => ("cordoned", None),
-                Standing::Drained => ("drained", None),
-                Standing::Never => ("never", None),
-                Standing::Pinned(tenant) => ("pinned", Some(tenant)),
+                WorkerState::Cordoned => ("cordoned", None),
+                WorkerState::Drained => ("drained", None),
+                WorkerState::Excluded => ("never", None),
+                WorkerState::Pinned(tenant) => ("pinned", Some(tenant)),
             };
             let mut table = Table::from_iter([("standing".to_owned(), Value::String(word.to_owned()))]);
             table.extend(tenant.map(|tenant| ("tenant".to_owned(), text(tenant))));
@@ -95,21 +100,21 @@
             |quota: &f64| Value::Table(Table::from_iter([("quota_per_s".to_owned(), (*quota).into())]));
         let (least, most) = self.retry_after_ms;
         let careful = Table::from_iter([
-            ("share".to_owned(), self.careful.share.into()),
-            ("workers".to_owned(), Value::Array(self.careful.workers.iter().map(text).collect())),
-            ("others".to_owned(), self.careful.others.into()),
-            ("unlimited".to_owned(), self.careful.unlimited.into()),
+            ("share".to_owned(), self.degraded.quota_share.into()),
+            ("workers".to_owned(), Value::Array(self.degraded.allowed_workers.iter().map(text).collect())),
+            ("others".to_owned(), self.degraded.allows_unlisted_workers.into()),
+            ("unlimited".to_owned(), self.degraded.allows_unlimited_tenants.into()),
         ]);
         let tenants = self.quotas.iter().map(|(name, of)| (name.clone(), quota(of)));
         let workers = self.workers.iter().map(|(name, standing)| (name.clone(), worker(standing)));
         let table = Table::from_iter([
             ("schedulers".to_owned(), i64::from(self.schedulers).into()),
-            ("attempts".to_owned(), i64::from(self.attempts).into()),
+            ("attempts".to_owned(), i64::from(self.max_attempts).into()),
             (
                 "retry_after_ms".to_owned(),
                 Value::Array(vec![i64::from(least).into(), i64::from(most).into()]),
             ),
-            ("list".to_owned(), (self.list as i64).into()),
+            ("list".to_owned(), (self.list_version as i64).into()),
             ("tenants".to_owned(), Value::Table(tenants.collect())),
             ("workers".to_owned(), Value::Table(workers.collect())),
             ("careful".to_owned(), Value::Table(careful)),
@@ -118,56 +123,60 @@
     }
 
     /// Reads a document. All that is wrong is told, each fault with its line and field.
-    pub fn parse(text: &str) -> Result<Document, Vec<Fault>> {
-        let mut reader = Reader::new(text)?;
-        let usual = Document::default();
+    pub fn parse(text: &str) -> Result<RulesDocument, Vec<DocumentError>> {
+        let mut reader = TomlReader::new(text)?;
+        let usual = RulesDocument::default();
         let document = reader.table(
             "",
             &["schedulers", "attempts", "retry_after_ms", "tenants", "workers", "careful", "list"],
-            |root| Document {
+            |root| RulesDocument {
                 schedulers: root.whole("schedulers", 1, 10_000).unwrap_or(1) as u32,
-                attempts: root.whole("attempts", 1, 16).unwrap_or(usual.attempts.into()) as u32,
+                max_attempts: root.whole("attempts", 1, 16).unwrap_or(usual.max_attempts.into()) as u32,
                 retry_after_ms: root.range("retry_after_ms", 0, 600_000).unwrap_or(usual.retry_after_ms),
-                quotas: root.named("tenants", MOST_TENANTS, |tenant| {
+                quotas: root.named("tenants", MAX_TENANTS, |tenant| {
                     tenant.only(&["quota_per_s"]);
                     tenant.figure("quota_per_s", 0.0, 1e9).unwrap_or(0.0)
                 }),
-                workers: root.named("workers", MOST_WORKERS, |worker| {
+                workers: root.named("workers", MAX_WORKERS, |worker| {
                     worker.only(&["standing", "tenant"]);
                     let tenant = worker.text("tenant");
                     match worker.word("standing", &["cordoned", "drained", "never", "pinned"]) {
-                        Some("drained") => Standing::Drained,
-                        Some("never") => Standing::Never,
+                        Some("drained") => WorkerState::Drained,
+                        Some("never") => WorkerState::Excluded,
                         Some("pinned") => {
                             let missing = || worker.fault("tenant", "a pinned worker needs one");
-                            Standing::Pinned(tenant.unwrap_or_else(|| {
+                            WorkerState::Pinned(tenant.unwrap_or_else(|| {
                                 missing();
                                 String::new()
                             }))
                         }
-                        _ => Standing::Cordoned,
+                        _ => WorkerState::Cordoned,
                     }
                 }),
-                careful: root.inner("careful", |careful| {
+                degraded: root.inner("careful", |careful| {
                     careful.only(&["share", "workers", "others", "unlimited"]);
-                    Careful {
-                        share: careful.figure("share", 0.0, 1.0).unwrap_or(usual.careful.share),
-                        workers: careful.texts("workers", MOST_WORKERS),
-                        others: careful.flag("others").unwrap_or(usual.careful.others),
-                        unlimited: careful.flag("unlimited").unwrap_or(usual.careful.unlimited),
+                    Degraded {
+                        quota_share: careful.figure("share", 0.0, 1.0).unwrap_or(usual.degraded.quota_share),
+                        allowed_workers: careful.texts("workers", MAX_WORKERS),
+                        allows_unlisted_workers: careful
+                            .flag("others")
+                            .unwrap_or(usual.degraded.allows_unlisted_workers),
+                        allows_unlimited_tenants: careful
+                            .flag("unlimited")
+                            .unwrap_or(usual.degraded.allows_unlimited_tenants),
                     }
                 }),
-                list: root.whole("list", 0, u64::MAX >> 1).unwrap_or(0),
+                list_version: root.whole("list", 0, u64::MAX >> 1).unwrap_or(0),
             },
         );
         for (worker, standing) in &document.workers {
-            if let Standing::Pinned(tenant) = standing {
+            if let WorkerState::Pinned(tenant) = standing {
                 if !tenant.is_empty() && !document.quotas.contains_key(tenant) {
                     reader.fault(&["workers", worker, "tenant"], "is not among the tenants");
                 }
             }
         }
-        for worker in &document.careful.workers {
+        for worker in &document.degraded.allowed_workers {
             if document.workers.contains_key(worker) {
                 reader.fault(
                     &["careful", "workers"],
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -19,12 +19,12 @@
 mod step;
 mod toml_faults;
 
-pub use decider::{Decider, Refused, Waits};
-pub use document::{Careful, Document, Standing, MOST_TENANTS, MOST_WORKERS};
-pub use lease::{Grant, Grantor, Had, Holder, InForce, Request, Terms};
+pub use decider::{BlockedBy, CommandError, RolloutState};
+pub use document::{Degraded, RulesDocument, WorkerState, MAX_TENANTS, MAX_WORKERS};
+pub use lease::{LeaseConfig, LeaseGrant, LeaseHolder, LeaseRequest, LeaseState, LeaseTable, PriorLease};
 pub use plan::plan;
-pub use step::{Contradiction, Places, Set, Step, Use};
-pub use toml_faults::{Fault, Reader, Table};
+pub use step::{Contradiction, KeyPlacement, PlacementInputs, RulesStep, WorkerAccess};
+pub use toml_faults::{DocumentError, TomlReader, TomlTable};
 
 /// Nanoseconds of a monotonic clock that goes on while its process is stopped.
 pub type Nanos = u64;
--- a/crates/rollout/src/toml_faults.rs
+++ b/crates/rollout/src/toml_faults.rs
@@ -9,51 +9,55 @@
 
 /// One thing that is wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct DocumentError {
     /// Counted from 1.
     pub line: usize,
     pub field: String,
-    pub what: String,
+    pub problem: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for DocumentError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "line {}: {}: {}", self.line, self.field, self.what)
+        write!(f, "line {}: {}: {}", self.line, self.field, self.problem)
     }
 }
 
 /// Faults that are told of one file, at most.
 const MOST: usize = 100;
 
-pub struct Reader<'a> {
+pub struct TomlReader<'a> {
     text: &'a str,
     root: DeTable<'a>,
-    faults: RefCell<Vec<Fault>>,
+    faults: RefCell<Vec<DocumentError>>,
 }
 
 /// One table of the file.
-pub struct Table<'r, 'a> {
-    reader: &'r Reader<'a>,
+pub struct TomlTable<'r, 'a> {
+    reader: &'r TomlReader<'a>,
     /// `None` where it is missing.
     table: Option<&'r DeTable<'a>>,
     path: String,
     at: usize,
 }
 
-impl<'a> Reader<'a> {
-    pub fn new(text: &'a str) -> Result<Reader<'a>, Vec<Fault>> {
+impl<'a> TomlReader<'a> {
+    pub fn new(text: &'a str) -> Result<TomlReader<'a>, Vec<DocumentError>> {
         match DeTable::parse(text) {
-            Ok(root) => Ok(Reader { text, root: root.into_inner(), faults: RefCell::default() }),
+            Ok(root) => Ok(TomlReader { text, root: root.into_inner(), faults: RefCell::default() }),
             Err(e) => {
                 let line = line(text, e.span().map_or(0, |span| span.start));
-                Err(vec![Fault { line, field: "the file".to_owned(), what: e.message().to_owned() }])
+                Err(vec![DocumentError {
+                    line,
+                    field: "the file".to_owned(),
+                    problem: e.message().to_owned(),
+                }])
             }
         }
     }
 
     /// Reads the whole file, in which only these fields may stand.
-    pub fn table<T>(&mut self, path: &str, known: &[&str], read: impl FnOnce(&Table<'_, 'a>) -> T) -> T {
-        let table = Table { reader: self, table: Some(&self.root), path: path.to_owned(), at: 0 };
+    pub fn table<T>(&mut self, path: &str, known: &[&str], read: impl FnOnce(&TomlTable<'_, 'a>) -> T) -> T {
+        let table = TomlTable { reader: self, table: Some(&self.root), path: path.to_owned(), at: 0 };
         table.only(known);
         read(&table)
     }
@@ -75,12 +79,16 @@
     fn note(&self, at: usize, field: &str, what: &str) {
         let mut faults = self.faults.borrow_mut();
         if faults.len() < MOST {
-            faults.push(Fault { line: line(self.text, at), field: field.to_owned(), what: what.to_owned() });
+            faults.push(DocumentError {
+                line: line(self.text, at),
+                field: field.to_owned(),
+                problem: what.to_owned(),
+            });
         }
     }
 
     /// What was read, if nothing is wrong with it.
-    pub fn end<T>(self, read: T) -> Result<T, Vec<Fault>> {
+    pub fn end<T>(self, read: T) -> Result<T, Vec<DocumentError>> {
         let mut faults = self.faults.into_inner();
         faults.sort_by_key(|fault| fault.line);
         if faults.is_empty() {
@@ -95,7 +103,7 @@
     1 + text.as_bytes()[..at.min(text.len())].iter().filter(|byte| **byte == b'\n').count()
 }
 
-impl<'r, 'a> Table<'r, 'a> {
+impl<'r, 'a> TomlTable<'r, 'a> {
     fn name(&self, field: &str) -> String {
         if self.path.is_empty() {
             field.to_owned()
@@ -235,7 +243,7 @@
     }
 
     /// A table in this one; one without fields if it is missing.
-    pub fn inner<T>(&self, field: &str, read: impl FnOnce(&Table<'r, 'a>) -> T) -> T {
+    pub fn inner<T>(&self, field: &str, read: impl FnOnce(&TomlTable<'r, 'a>) -> T) -> T {
         let found = self.get(field);
         let table = found.and_then(|value| match value.get_ref() {
             DeValue::Table(table) => Some(table),
@@ -247,8 +255,8 @@
         read(&self.at(field, table, found.map_or(self.at, |value| value.span().start)))
     }
 
-    fn at(&self, field: &str, table: Option<&'r DeTable<'a>>, at: usize) -> Table<'r, 'a> {
-        Table { reader: self.reader, table, path: self.name(field), at }
+    fn at(&self, field: &str, table: Option<&'r DeTable<'a>>, at: usize) -> TomlTable<'r, 'a> {
+        TomlTable { reader: self.reader, table, path: self.name(field), at }
     }
 
     /// Tables by name in a table.
@@ -256,7 +264,7 @@
         &self,
         field: &str,
         most: usize,
-        read: impl Fn(&Table<'_, 'a>) -> T,
+        read: impl Fn(&TomlTable<'_, 'a>) -> T,
     ) -> BTreeMap<String, T> {
         let mut named = BTreeMap::new();
         let Some(value) = self.get(field) else { return named };
--- a/crates/rollout/tests/documents.rs
+++ b/crates/rollout/tests/documents.rs
@@ -1,6 +1,6 @@
 //! Documents: what is wrong is told all at once, each fault with its line and field.
 
-use nickelflow_rollout::{Document, Fault, Standing};
+use nickelflow_rollout::{DocumentError, RulesDocument, WorkerState};
 use rstest::rstest;
 
 const SOUND: &str = r#"
@@ -29,18 +29,18 @@
 
 #[test]
 fn a_sound_document_is_read_whole() {
-    let document = Document::parse(SOUND).expect("it is sound");
-    assert_eq!((document.schedulers, document.attempts, document.list), (3, 4, 41));
+    let document = RulesDocument::parse(SOUND).expect("it is sound");
+    assert_eq!((document.schedulers, document.max_attempts, document.list_version), (3, 4, 41));
     assert_eq!(document.retry_after_ms, (50, 2_000));
     assert_eq!(document.quotas["emmental"], 30.5);
-    assert_eq!(document.workers["w2"], Standing::Pinned("seeland".to_owned()));
-    assert_eq!(document.careful.share, 0.5);
-    assert!(document.careful.workers.contains("w4"));
+    assert_eq!(document.workers["w2"], WorkerState::Pinned("seeland".to_owned()));
+    assert_eq!(document.degraded.quota_share, 0.5);
+    assert!(document.degraded.allowed_workers.contains("w4"));
 }
 
 #[test]
 fn what_is_not_said_has_its_usual_value() {
-    assert_eq!(Document::parse(""), Ok(Document::default()));
+    assert_eq!(RulesDocument::parse(""), Ok(RulesDocument::default()));
 }
 
 #[rstest]
@@ -62,7 +62,7 @@
     &[(1, "attempts"), (2, "x"), (4, "tenants.a.quota"), (6, "careful.share")]
 )]
 fn all_faults_are_told_with_line_and_field(#[case] text: &str, #[case] faults: &[(usize, &str)]) {
-    let found: Vec<Fault> = Document::parse(text).expect_err("it is wrong");
+    let found: Vec<DocumentError> = RulesDocument::parse(text).expect_err("it is wrong");
     let found: Vec<(usize, &str)> = found.iter().map(|fault| (fault.line, fault.field.as_str())).collect();
     assert_eq!(found, faults);
 }
@@ -71,6 +71,6 @@
 fn a_document_of_ten_thousand_workers_is_read_and_twice_as_many_and_one_are_refused() {
     let workers =
         |n: usize| (0..n).map(|w| format!("[workers.w{w}]\nstanding = \"drained\"\n")).collect::<String>();
-    assert_eq!(Document::parse(&workers(10_000)).expect("it is sound").workers.len(), 10_000);
-    assert!(Document::parse(&workers(20_001)).is_err());
+    assert_eq!(RulesDocument::parse(&workers(10_000)).expect("it is sound").workers.len(), 10_000);
+    assert!(RulesDocument::parse(&workers(20_001)).is_err());
 }
--- a/crates/rollout/tests/leases.rs
+++ b/crates/rollout/tests/leases.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use nickelflow_rollout::{
-    Careful, Decider, Document, Grant, Grantor, Holder, InForce, Nanos, Request, Standing, Step, Terms,
-    Version,
+    Degraded, LeaseConfig, LeaseGrant, LeaseHolder, LeaseRequest, LeaseState, LeaseTable, Nanos,
+    RolloutState, RulesDocument, RulesStep, Version, WorkerState,
 };
 
 const MS: Nanos = 1_000_000;
@@ -33,7 +33,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord, Debug)]
 enum Event {
     Renew(usize),
-    Arrives(usize, usize, Request),
+    Arrives(usize, usize, LeaseRequest),
     Granted(usize, u64),
     Propose,
     Advance,
@@ -56,64 +56,69 @@
 
 /// One that has decided or does, and what it knew when it last did.
 struct Deciding {
-    grantor: Grantor,
+    grantor: LeaseTable,
     clock: Clock,
-    knows: (Version, Step),
+    knows: (Version, RulesStep),
 }
 
 struct World {
     guard: Guard,
-    terms: Terms,
-    honoured: Terms,
+    terms: LeaseConfig,
+    honoured: LeaseConfig,
     random: fastrand::Rng,
     now: Nanos,
     queue: BinaryHeap<std::cmp::Reverse<(Nanos, u64, Event)>>,
     serial: u64,
-    grants: BTreeMap<u64, Grant>,
-    decider: Decider,
+    grants: BTreeMap<u64, LeaseGrant>,
+    decider: RolloutState,
     deciding: Vec<Deciding>,
-    holders: Vec<(Holder, Clock, bool)>,
+    holders: Vec<(LeaseHolder, Clock, bool)>,
     /// When each version was decided.
     decided: BTreeMap<Version, Nanos>,
-    steps: BTreeMap<Version, Step>,
+    steps: BTreeMap<Version, RulesStep>,
     /// The worst time that somebody acted on a version after the next had been decided.
     overlap: Nanos,
     advances: u32,
     broken: Option<String>,
 }
 
-fn document(random: &mut fastrand::Rng) -> Document {
-    let mut document = Document { schedulers: 3 + random.u32(0..2), ..Document::default() };
+fn document(random: &mut fastrand::Rng) -> RulesDocument {
+    let mut document = RulesDocument { schedulers: 3 + random.u32(0..2), ..RulesDocument::default() };
     document.quotas.insert("emmental".to_owned(), 10.0 * f64::from(random.u32(1..10)));
     for worker in WORKERS {
         match random.u32(0..5) {
-            0 => drop(document.workers.insert(worker.to_owned(), Standing::Cordoned)),
-            1 => drop(document.workers.insert(worker.to_owned(), Standing::Pinned("emmental".to_owned()))),
+            0 => drop(document.workers.insert(worker.to_owned(), WorkerState::Cordoned)),
+            1 => drop(document.workers.insert(worker.to_owned(), WorkerState::Pinned("emmental".to_owned()))),
             _ => {}
         }
     }
     let share = random.f64();
     let core = WORKERS.iter().filter(|w| !document.workers.contains_key(**w) && random.bool());
     let workers = core.map(|w| (*w).to_owned()).collect();
-    document.careful = Careful { share, workers, others: random.bool(), unlimited: random.bool() };
+    document.degraded = Degraded {
+        quota_share: share,
+        allowed_workers: workers,
+        allows_unlisted_workers: random.bool(),
+        allows_unlimited_tenants: random.bool(),
+    };
     document
 }
 
 impl World {
     fn new(seed: u64, guard: Guard) -> World {
         let mut random = fastrand::Rng::with_seed(seed);
-        let terms = Terms::new(1_000 * MS, 300 * MS, 0.02).expect("sound terms");
+        let terms = LeaseConfig::new(1_000 * MS, 300 * MS, 0.02).expect("sound terms");
         let honoured = match guard {
-            Guard::LeaseTooLong => Terms::new(2_000 * MS, 300 * MS, 0.02).expect("sound terms"),
+            Guard::LeaseTooLong => LeaseConfig::new(2_000 * MS, 300 * MS, 0.02).expect("sound terms"),
             _ => terms,
         };
-        let decider = Decider::new(Document { schedulers: 3, ..document(&mut random) });
+        let decider = RolloutState::new(RulesDocument { schedulers: 3, ..document(&mut random) });
         let mut clock =
             || Clock { offset: random.u64(1..100_000 * MS), rate: 1.0 + 0.02 * (2.0 * random.f64() - 1.0) };
         let clocks: Vec<Clock> = (0..=HOLDERS).map(|_| clock()).collect();
         let mut clocks = clocks.into_iter();
         let first = clocks.next().expect("one for the first that decides");
-        let (version, step) = decider.in_force();
+        let (version, step) = decider.active();
         let mut world = World {
             guard,
             terms,
@@ -126,12 +131,12 @@
             decided: BTreeMap::from([(version, 0)]),
             steps: BTreeMap::from([(version, step.clone())]),
             deciding: vec![Deciding {
-                grantor: Grantor::new(terms, first.at(0)),
+                grantor: LeaseTable::new(terms, first.at(0)),
                 clock: first,
                 knows: (version, step.clone()),
             }],
             decider,
-            holders: clocks.map(|clock| (Holder::new(honoured, 0), clock, false)).collect(),
+            holders: clocks.map(|clock| (LeaseHolder::new(honoured, 0), clock, false)).collect(),
             overlap: 0,
             advances: 0,
             broken: None,
@@ -201,7 +206,10 @@
                 if self.guard == Guard::FromArrival {
                     // As if it had been asked for just now.
                     let request = holder.ask(now);
-                    holder.granted(now, Grant { life: request.life, number: request.number, ..grant });
+                    holder.granted(
+                        now,
+                        LeaseGrant { incarnation: request.incarnation, sequence: request.sequence, ..grant },
+                    );
                 } else {
                     holder.granted(now, grant);
                 }
@@ -220,9 +228,9 @@
             Event::Elect => {
                 let rate = 1.0 + 0.02 * (2.0 * self.random.f64() - 1.0);
                 let clock = Clock { offset: self.random.u64(1..100_000 * MS), rate };
-                let (version, step) = self.decider.in_force();
+                let (version, step) = self.decider.active();
                 let knows = (version, step.clone());
-                let grantor = Grantor::new(self.terms, clock.at(self.now));
+                let grantor = LeaseTable::new(self.terms, clock.at(self.now));
                 self.deciding.push(Deciding { grantor, clock, knows });
                 let after = self.random.u64(500..12_000) * MS;
                 self.at(after, Event::Elect);
@@ -230,7 +238,7 @@
             Event::Restart(n) => {
                 // It keeps its seat under its name and has forgotten all else.
                 let life = if self.guard == Guard::SameLife { 0 } else { self.serial };
-                self.holders[n].0 = Holder::new(self.honoured, life);
+                self.holders[n].0 = LeaseHolder::new(self.honoured, life);
                 let (next, after) = (self.random.usize(0..HOLDERS), self.random.u64(500..20_000) * MS);
                 self.at(after, Event::Restart(next));
             }
@@ -242,17 +250,17 @@
         }
     }
 
-    fn asked(&mut self, n: usize, to: usize, request: Request) {
+    fn asked(&mut self, n: usize, to: usize, request: LeaseRequest) {
         let confirmed = to + 1 == self.deciding.len();
         if !confirmed && self.guard != Guard::Unconfirmed {
             return;
         }
         let name = format!("s{n}");
         if confirmed {
-            if self.decider.sit(&name).is_err() {
+            if self.decider.join(&name).is_err() {
                 return;
             }
-            let (version, step) = self.decider.in_force();
+            let (version, step) = self.decider.active();
             self.deciding[to].knows = (version, step.clone());
         }
         let Deciding { grantor, clock, knows: (version, step) } = &mut self.deciding[to];
@@ -267,8 +275,8 @@
     fn advance(&mut self) {
         let last = self.deciding.len() - 1;
         let Deciding { grantor, clock, .. } = &self.deciding[last];
-        let (version, _) = self.decider.in_force();
-        let names: Vec<String> = self.decider.seats().map(|(name, _)| name.to_owned()).collect();
+        let (version, _) = self.decider.active();
+        let names: Vec<String> = self.decider.members().map(|(name, _)| name.to_owned()).collect();
         let now = clock.at(self.now);
         let settled = names.iter().all(|name| grantor.only(now, name, version).is_ok());
         let has: BTreeMap<String, Version> = match self.guard {
@@ -281,38 +289,40 @@
         if let Some(version) = self.decider.advance(last as u64, &has) {
             self.advances += 1;
             self.decided.insert(version, self.now);
-            self.steps.insert(version, self.decider.in_force().1.clone());
+            self.steps.insert(version, self.decider.active().1.clone());
         }
     }
 
     /// Whether all who act at this moment may.
     fn check(&mut self) {
-        let acting: Vec<InForce<'_>> =
+        let acting: Vec<LeaseState<'_>> =
             self.holders.iter().map(|(holder, clock, _)| holder.in_force(clock.at(self.now))).collect();
         let mut broken = None;
         for (n, one) in acting.iter().enumerate() {
-            if let InForce::Full(version, _) = one {
+            if let LeaseState::Active(version, _) = one {
                 let next = self
                     .decided
                     .range((std::ops::Bound::Excluded(*version), std::ops::Bound::Unbounded))
                     .next();
                 let since = next.map_or(0, |(_, decided)| self.now - decided);
                 self.overlap = self.overlap.max(since);
-                if since > self.terms.bound() {
+                if since > self.terms.max_overlap() {
                     broken = Some(format!("s{n} acts on {version} {} ms after the next", since / MS));
                 }
             }
             for (m, other) in acting.iter().enumerate().filter(|(m, _)| *m != n) {
                 let why = match (one, other) {
-                    (InForce::Full(_, a), InForce::Full(_, b)) => a.contradicts(b),
-                    (InForce::Careful(_, a), InForce::Full(_, b)) if self.guard == Guard::NeverCareful => {
+                    (LeaseState::Active(_, a), LeaseState::Active(_, b)) => a.contradicts(b),
+                    (LeaseState::Lapsed(_, a), LeaseState::Active(_, b))
+                        if self.guard == Guard::NeverCareful =>
+                    {
                         a.contradicts(b)
                     }
-                    (InForce::Careful(later, a), InForce::Full(version, b)) if later >= version => {
+                    (LeaseState::Lapsed(later, a), LeaseState::Active(version, b)) if later >= version => {
                         // What it may do carefully is a part of what it might do in full.
                         a.contradicts(b)
                     }
-                    (InForce::Careful(_, a), InForce::Full(_, b)) => a.careful_contradicts(b),
+                    (LeaseState::Lapsed(_, a), LeaseState::Active(_, b)) => a.careful_contradicts(b),
                     _ => None,
                 };
                 if let Some(why) = why {
@@ -323,18 +333,20 @@
         let sum: f64 = acting
             .iter()
             .map(|acts| match acts {
-                InForce::Full(_, step) => step.quotas.get("emmental").map_or(0.0, |_| step.part("emmental")),
-                InForce::Careful(_, step) => step.careful_part("emmental"),
-                InForce::Nothing => 0.0,
+                LeaseState::Active(_, step) => {
+                    step.quotas.get("emmental").map_or(0.0, |_| step.part("emmental"))
+                }
+                LeaseState::Lapsed(_, step) => step.careful_part("emmental"),
+                LeaseState::NeverGranted => 0.0,
             })
             .sum();
-        let full = |acts: &&InForce<'_>| matches!(acts, InForce::Full(..));
+        let full = |acts: &&LeaseState<'_>| matches!(acts, LeaseState::Active(..));
         let wholes = acting.iter().filter(full).filter_map(|acts| match acts {
-            InForce::Full(_, step) => step.quotas.get("emmental").copied(),
+            LeaseState::Active(_, step) => step.quotas.get("emmental").copied(),
             _ => None,
         });
         // A limit that has been raised counts as raised once that is decided.
-        let decided = self.decider.in_force().1.quotas.get("emmental").copied().unwrap_or(0.0);
+        let decided = self.decider.active().1.quotas.get("emmental").copied().unwrap_or(0.0);
         let whole = wholes.fold(decided, f64::max);
         if whole > 0.0 && sum > whole * (1.0 + 1e-6) {
             broken = Some(format!("all together take {sum} of {whole}"));
@@ -355,8 +367,12 @@
         advances += world.advances;
     }
     // The bound is not idle: overlaps come near it, and changes do get through.
-    let terms = Terms::new(1_000 * MS, 300 * MS, 0.02).expect("sound terms");
-    assert!(worst <= terms.bound() && worst > terms.bound() / 2, "worst overlap {} ms", worst / MS);
+    let terms = LeaseConfig::new(1_000 * MS, 300 * MS, 0.02).expect("sound terms");
+    assert!(
+        worst <= terms.max_overlap() && worst > terms.max_overlap() / 2,
+        "worst overlap {} ms",
+        worst / MS
+    );
     assert!(advances > 3_000, "{advances} steps in all");
 }
 
@@ -377,11 +393,11 @@
 
 #[test]
 fn a_request_that_comes_late_takes_no_seat_again_for_one_that_has_left() {
-    let terms = Terms::new(1_000 * MS, 300 * MS, 0.0).expect("sound terms");
-    let step = Step::of(&Document::default());
+    let terms = LeaseConfig::new(1_000 * MS, 300 * MS, 0.0).expect("sound terms");
+    let step = RulesStep::of(&RulesDocument::default());
     let version = Version { term: 1, number: 1 };
-    let mut grantor = Grantor::new(terms, 0);
-    let (mut first, mut second) = (Holder::new(terms, 1), Holder::new(terms, 2));
+    let mut grantor = LeaseTable::new(terms, 0);
+    let (mut first, mut second) = (LeaseHolder::new(terms, 1), LeaseHolder::new(terms, 2));
     let late = first.ask(1);
     assert!(grantor.grant(1, "a", late, version, &step).is_some());
     grantor.left("a");
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -6,7 +6,10 @@
 
 use std::hash::{Hash, Hasher};
 
-use nickelflow_rollout::{Document, Grant, Grantor, Holder, InForce, Nanos, Request, Step, Terms, Version};
+use nickelflow_rollout::{
+    LeaseConfig, LeaseGrant, LeaseHolder, LeaseRequest, LeaseState, LeaseTable, Nanos, RulesDocument,
+    RulesStep, Version,
+};
 use rstest::rstest;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
@@ -36,8 +39,8 @@
 
 struct Small {
     fault: Fault,
-    terms: Terms,
-    step: Step,
+    terms: LeaseConfig,
+    step: RulesStep,
 }
 
 #[derive(Clone, Debug)]
@@ -46,14 +49,14 @@
     version: u64,
     /// When each version was decided.
     decided: Vec<Nanos>,
-    grantor: Grantor,
-    holders: Vec<Holder>,
+    grantor: LeaseTable,
+    holders: Vec<LeaseHolder>,
     lives: Vec<u64>,
     asks: Vec<u64>,
     slow: u64,
     elections: u64,
-    requests: Vec<(usize, Request)>,
-    grants: Vec<(usize, Grant)>,
+    requests: Vec<(usize, LeaseRequest)>,
+    grants: Vec<(usize, LeaseGrant)>,
 }
 
 impl State {
@@ -100,13 +103,13 @@
 
 impl Small {
     fn new(fault: Fault) -> Small {
-        let terms = Terms::new(LEASE, 1, 0.0).expect("sound terms");
-        Small { fault, terms, step: Step::of(&Document::default()) }
+        let terms = LeaseConfig::new(LEASE, 1, 0.0).expect("sound terms");
+        Small { fault, terms, step: RulesStep::of(&RulesDocument::default()) }
     }
 
-    fn holder(&self, life: u64) -> Holder {
+    fn holder(&self, life: u64) -> LeaseHolder {
         let lease = if self.fault == Fault::TooLong { LEASE + 1 } else { LEASE };
-        Holder::new(Terms::new(lease, 1, 0.0).expect("sound terms"), life)
+        LeaseHolder::new(LeaseConfig::new(lease, 1, 0.0).expect("sound terms"), life)
     }
 
     /// Whether the next version may be decided.
@@ -133,7 +136,7 @@
             now: 1,
             version: 1,
             decided: vec![0],
-            grantor: Grantor::new(self.terms, 1),
+            grantor: LeaseTable::new(self.terms, 1),
             holders: (0..SCHEDULERS).map(|n| self.holder(n as u64)).collect(),
             lives: (0..SCHEDULERS as u64).collect(),
             asks: vec![0; SCHEDULERS],
@@ -211,7 +214,7 @@
             Act::Elect => {
                 state.elections += 1;
                 let begun = if self.fault == Fault::Forgets { 0 } else { state.now };
-                state.grantor = Grantor::new(self.terms, begun);
+                state.grantor = LeaseTable::new(self.terms, begun);
             }
         }
         Some(state)
@@ -221,7 +224,7 @@
         vec![
             Property::always(NEIGHBOURS, |_, state: &State| {
                 (0..SCHEDULERS).all(|n| match state.holders[n].in_force(state.now) {
-                    InForce::Full(acts, _) => acts.number + 1 >= state.version,
+                    LeaseState::Active(acts, _) => acts.number + 1 >= state.version,
                     _ => true,
                 })
             }),
@@ -229,9 +232,9 @@
                 "nobody acts on a version for T after the next",
                 |model: &Small, state: &State| {
                     (0..SCHEDULERS).all(|n| match state.holders[n].in_force(state.now) {
-                        InForce::Full(acts, _) => {
+                        LeaseState::Active(acts, _) => {
                             let next = state.decided.get(acts.number as usize);
-                            next.is_none_or(|next| state.now - next < model.terms.bound())
+                            next.is_none_or(|next| state.now - next < model.terms.max_overlap())
                         }
                         _ => true,
                     })
@@ -239,14 +242,14 @@
             ),
             Property::always(CAREFUL, |_, state: &State| {
                 (0..SCHEDULERS).all(|n| match state.holders[n].in_force(state.now) {
-                    InForce::Careful(acts, _) => acts.number > 1 || state.version < 3,
+                    LeaseState::Lapsed(acts, _) => acts.number > 1 || state.version < 3,
                     _ => true,
                 })
             }),
             Property::sometimes("version 3 comes into force", |_, state: &State| state.version == 3),
             Property::sometimes("two versions are in force at once", |_, state: &State| {
                 let acts = |n: usize| match state.holders[n].in_force(state.now) {
-                    InForce::Full(acts, _) => Some(acts.number),
+                    LeaseState::Active(acts, _) => Some(acts.number),
                     _ => None,
                 };
                 acts(0).is_some() && acts(1).is_some() && acts(0) != acts(1)
--- a/crates/rollout/tests/plan.rs
+++ b/crates/rollout/tests/plan.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use nickelflow_rollout::{plan, Careful, Document, Places, Standing, Step};
+use nickelflow_rollout::{plan, Degraded, KeyPlacement, RulesDocument, RulesStep, WorkerState};
 use proptest::prelude::*;
 
 const TENANTS: [&str; 3] = ["bern", "emmental", "seeland"];
@@ -17,12 +17,12 @@
     prop::sample::select(&WORKERS[..]).prop_map(str::to_owned)
 }
 
-fn standing() -> impl Strategy<Value = Standing> {
+fn standing() -> impl Strategy<Value = WorkerState> {
     prop_oneof![
-        Just(Standing::Cordoned),
-        Just(Standing::Drained),
-        Just(Standing::Never),
-        tenant().prop_map(Standing::Pinned)
+        Just(WorkerState::Cordoned),
+        Just(WorkerState::Drained),
+        Just(WorkerState::Excluded),
+        tenant().prop_map(WorkerState::Pinned)
     ]
 }
 
@@ -35,10 +35,10 @@
         core in prop::collection::btree_set(worker(), 0..4),
         (others, unlimited) in prop::bool::ANY.prop_flat_map(|a| prop::bool::ANY.prop_map(move |b| (a, b))),
         list in 0u64..3,
-    ) -> Document {
+    ) -> RulesDocument {
         let core = core.into_iter().filter(|w| !workers.contains_key(w)).collect();
-        let careful = Careful { share, workers: core, others, unlimited };
-        Document { schedulers, quotas, workers, careful, list, ..Document::default() }
+        let careful = Degraded { quota_share: share, allowed_workers: core, allows_unlisted_workers: others, allows_unlimited_tenants: unlimited };
+        RulesDocument { schedulers, quotas, workers, degraded: careful, list_version: list, ..RulesDocument::default() }
     }
 }
 
@@ -49,7 +49,7 @@
     sends: BTreeSet<(String, String)>,
 }
 
-fn full(step: &Step) -> Acts {
+fn full(step: &RulesStep) -> Acts {
     let sends = |w: &&'static str| {
         TENANTS
             .iter()
@@ -64,7 +64,7 @@
 }
 
 /// Workers that a step keeps for one tenant.
-fn kept(step: &Step) -> BTreeMap<String, String> {
+fn kept(step: &RulesStep) -> BTreeMap<String, String> {
     let only = |w: &&'static str| {
         let tenant = TENANTS.iter().find(|t| {
             step.allows(w, t) && WORKERS.iter().all(|o| o == w || !step.allows(o, t) || pinned(step, o, t))
@@ -74,12 +74,12 @@
     WORKERS.iter().filter_map(only).collect()
 }
 
-fn pinned(step: &Step, worker: &str, tenant: &str) -> bool {
-    step.uses.get(worker) == Some(&nickelflow_rollout::Use::Own(tenant.to_owned()))
+fn pinned(step: &RulesStep, worker: &str, tenant: &str) -> bool {
+    step.worker_access.get(worker) == Some(&nickelflow_rollout::WorkerAccess::Exclusive(tenant.to_owned()))
 }
 
 /// Whether two who act side by side break what one of them relies on.
-fn collide(a: &Step, b: &Step) -> Option<String> {
+fn collide(a: &RulesStep, b: &RulesStep) -> Option<String> {
     let (x, y) = (full(a), full(b));
     for (keeper, other) in [(a, &y), (b, &x)] {
         for (worker, tenant) in kept(keeper) {
@@ -89,8 +89,8 @@
         }
     }
     // Every number of them on either side, no more than there are seats for each.
-    for on_a in 0..=a.seats {
-        for on_b in 0..=b.seats.min(a.seats.max(b.seats) - on_a) {
+    for on_a in 0..=a.max_members {
+        for on_b in 0..=b.max_members.min(a.max_members.max(b.max_members) - on_a) {
             for tenant in x.parts.keys().filter(|t| y.parts.contains_key(*t)) {
                 let sum = f64::from(on_a) * x.parts[tenant] + f64::from(on_b) * y.parts[tenant];
                 let whole = a.quotas[tenant].max(b.quotas[tenant]);
@@ -104,19 +104,19 @@
 }
 
 /// The rack of a key by a set, as rendezvous hashing has it.
-fn place(set: &nickelflow_rollout::Set, key: u64) -> Option<&'static str> {
+fn place(set: &nickelflow_rollout::PlacementInputs, key: u64) -> Option<&'static str> {
     let hash = |w: &str| {
-        let mut x = key ^ set.list.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let mut x = key ^ set.list_version.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         w.bytes().for_each(|b| x = (x ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3));
         x ^ (x >> 29)
     };
-    WORKERS.into_iter().filter(|w| !set.without.contains(*w)).max_by_key(|w| hash(w))
+    WORKERS.into_iter().filter(|w| !set.excluded_workers.contains(*w)).max_by_key(|w| hash(w))
 }
 
-fn sent(step: &Step, key: u64) -> Option<&'static str> {
-    match &step.places {
-        Places::By(set) => place(set, key),
-        Places::Both(old, new) => place(old, key).filter(|w| place(new, key) == Some(w)),
+fn sent(step: &RulesStep, key: u64) -> Option<&'static str> {
+    match &step.key_placement {
+        KeyPlacement::Single(set) => place(set, key),
+        KeyPlacement::Transition(old, new) => place(old, key).filter(|w| place(new, key) == Some(w)),
     }
 }
 
@@ -125,7 +125,7 @@
 
     #[test]
     fn each_step_agrees_with_its_neighbours(from in document(), to in document()) {
-        let first = Step::of(&from);
+        let first = RulesStep::of(&from);
         let steps = plan(&first, &to);
         let mut last = &first;
         for step in &steps {
@@ -137,14 +137,14 @@
             }
             last = step;
         }
-        prop_assert_eq!(last, &Step::of(&to));
+        prop_assert_eq!(last, &RulesStep::of(&to));
         prop_assert!(steps.len() <= 8, "{} steps", steps.len());
     }
 
     #[test]
     fn who_is_cut_off_on_the_way_does_nothing_that_a_later_step_forbids(from in document(), to in document()) {
-        let first = Step::of(&from);
-        let steps: Vec<Step> = std::iter::once(first.clone()).chain(plan(&first, &to)).collect();
+        let first = RulesStep::of(&from);
+        let steps: Vec<RulesStep> = std::iter::once(first.clone()).chain(plan(&first, &to)).collect();
         // But for the first step, after which all must have told that they know: what they may do carefully shrinks.
         for pair in steps.windows(2).skip(1) {
             prop_assert_eq!(pair[0].careful_contradicts(&pair[1]), None, "{:#?} and {:#?}", &pair[0], &pair[1]);
@@ -155,7 +155,7 @@
                 for worker in WORKERS {
                     for tenant in TENANTS {
                         let may = now.careful_allows(worker, tenant);
-                        prop_assert!(!may || !later.uses.contains_key(worker), "{} to {}", tenant, worker);
+                        prop_assert!(!may || !later.worker_access.contains_key(worker), "{} to {}", tenant, worker);
                     }
                 }
                 for tenant in later.quotas.keys() {
@@ -174,13 +174,13 @@
     fn a_written_document_reads_back_to_the_same(mut document in document()) {
         // Only what can be written by hand: a pinned worker's tenant has a limit.
         let quotas = document.quotas.clone();
-        document.workers.retain(|_, s| !matches!(s, Standing::Pinned(t) if !quotas.contains_key(t)));
-        prop_assert_eq!(Document::parse(&document.write()), Ok(document));
+        document.workers.retain(|_, s| !matches!(s, WorkerState::Pinned(t) if !quotas.contains_key(t)));
+        prop_assert_eq!(RulesDocument::parse(&document.write()), Ok(document));
     }
 
     #[test]
     fn what_does_not_agree_is_found(a in document(), b in document()) {
-        let (a, b) = (Step::of(&a), Step::of(&b));
+        let (a, b) = (RulesStep::of(&a), RulesStep::of(&b));
         if let Some(why) = collide(&a, &b) {
             prop_assert!(a.contradicts(&b).is_some(), "{}", why);
             prop_assert!(b.contradicts(&a).is_some(), "{}", why);
