--- a/crates/rollout/tests/stored_bytes.rs
+++ b/crates/rollout/tests/stored_bytes.rs
@@ -6,7 +6,8 @@
 use std::fmt::Debug;
 
 use nickelflow_rollout::{
-    Careful, Decider, Document, Grant, Places, Refused, Request, Set, Standing, Step, Terms, Use, Version,
+    CommandError, Degraded, KeyPlacement, LeaseConfig, LeaseGrant, LeaseRequest, PlacementInputs,
+    RolloutState, RulesDocument, RulesStep, Version, WorkerAccess, WorkerState,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -72,65 +73,77 @@
     Version { number: 300, term: 7 }
 }
 
-fn standings() -> Vec<Standing> {
-    vec![Standing::Cordoned, Standing::Drained, Standing::Never, Standing::Pinned("milk".to_owned())]
+fn standings() -> Vec<WorkerState> {
+    vec![
+        WorkerState::Cordoned,
+        WorkerState::Drained,
+        WorkerState::Excluded,
+        WorkerState::Pinned("milk".to_owned()),
+    ]
 }
 
-fn careful() -> Careful {
-    Careful { share: 0.25, workers: names(&["w7", "w8"]), others: true, unlimited: false }
+fn careful() -> Degraded {
+    Degraded {
+        quota_share: 0.25,
+        allowed_workers: names(&["w7", "w8"]),
+        allows_unlisted_workers: true,
+        allows_unlimited_tenants: false,
+    }
 }
 
-fn document() -> Document {
+fn document() -> RulesDocument {
     let workers = standings().into_iter().enumerate();
-    Document {
+    RulesDocument {
         schedulers: 4,
-        attempts: 3,
+        max_attempts: 3,
         retry_after_ms: (20, 1_500),
         quotas: BTreeMap::from([("cream".to_owned(), 12.5), ("milk".to_owned(), 100.0)]),
         workers: workers.map(|(n, standing)| (format!("w{n}"), standing)).collect(),
-        careful: careful(),
-        list: 9,
+        degraded: careful(),
+        list_version: 9,
     }
 }
 
-fn uses() -> Vec<Use> {
-    let closed = standings().into_iter().map(Use::None);
-    closed.chain([Use::Reserved("milk".to_owned()), Use::Own("cream".to_owned())]).collect()
+fn uses() -> Vec<WorkerAccess> {
+    let closed = standings().into_iter().map(WorkerAccess::Closed);
+    closed
+        .chain([WorkerAccess::Reserved("milk".to_owned()), WorkerAccess::Exclusive("cream".to_owned())])
+        .collect()
 }
 
-fn set(list: u64) -> Set {
-    Set { list, without: names(&["w1", "w2"]) }
+fn set(list: u64) -> PlacementInputs {
+    PlacementInputs { list_version: list, excluded_workers: names(&["w1", "w2"]) }
 }
 
-fn places() -> [Places; 2] {
-    [Places::By(set(3)), Places::Both(set(4), set(5))]
+fn places() -> [KeyPlacement; 2] {
+    [KeyPlacement::Single(set(3)), KeyPlacement::Transition(set(4), set(5))]
 }
 
-fn step() -> Step {
+fn step() -> RulesStep {
     let [_, places] = places();
-    Step {
-        seats: 5,
-        parts: 6,
-        attempts: 3,
+    RulesStep {
+        max_members: 5,
+        quota_shares: 6,
+        max_attempts: 3,
         retry_after_ms: (20, 1_500),
         quotas: document().quotas,
-        uses: uses().into_iter().enumerate().map(|(n, put)| (format!("w{n}"), put)).collect(),
-        places,
-        careful: careful(),
+        worker_access: uses().into_iter().enumerate().map(|(n, put)| (format!("w{n}"), put)).collect(),
+        key_placement: places,
+        degraded: careful(),
     }
 }
 
 /// A state with two steps kept, others to come, two documents and two members of which one is behind.
-fn decider() -> Decider {
-    let mut decider = Decider::new(document());
-    decider.sit("s1").expect("a seat");
-    let mut wanted = Document { schedulers: 6, list: 10, ..document() };
+fn decider() -> RolloutState {
+    let mut decider = RolloutState::new(document());
+    decider.join("s1").expect("a seat");
+    let mut wanted = RulesDocument { schedulers: 6, list_version: 10, ..document() };
     wanted.workers.clear();
     decider.propose(1, wanted).expect("the newest");
-    let first = decider.in_force().0;
+    let first = decider.active().0;
     let second = decider.advance(3, &BTreeMap::from([("s1".to_owned(), first)])).expect("a step");
-    decider.sit("s2").expect("a seat");
-    assert!(second > first && decider.coming() > 0 && decider.seats().count() == 2);
+    decider.join("s2").expect("a seat");
+    assert!(second > first && decider.pending_steps() > 0 && decider.members().count() == 2);
     decider
 }
 
@@ -143,7 +156,7 @@
     }
     checker.check("careful", &careful());
     checker.check("document", &document());
-    checker.check("document-default", &Document::default());
+    checker.check("document-default", &RulesDocument::default());
     for (n, put) in uses().iter().enumerate() {
         checker.check(&format!("use-{n}"), put);
     }
@@ -151,14 +164,25 @@
         checker.check(&format!("places-{n}"), places);
     }
     checker.check("step", &step());
-    for (n, refused) in [Refused::Changed(300), Refused::Unknown(301), Refused::Full].iter().enumerate() {
+    for (n, refused) in
+        [CommandError::Conflict(300), CommandError::UnknownProposal(301), CommandError::MembershipFull]
+            .iter()
+            .enumerate()
+    {
         checker.check(&format!("refused-{n}"), refused);
     }
-    checker.check("decider-new", &Decider::new(document()));
+    checker.check("decider-new", &RolloutState::new(document()));
     checker.check("decider", &decider());
-    checker.check("request", &Request { life: 1_000_001, number: 302, has: version() });
-    checker.check("grant", &Grant { life: 1_000_001, number: 302, version: version(), step: Some(step()) });
-    checker.check("grant-renewal", &Grant { life: 1_000_001, number: 302, version: version(), step: None });
-    checker.check("terms", &Terms::new(1_000_000_000, 200_000_000, 0.01).expect("sound terms"));
+    checker
+        .check("request", &LeaseRequest { incarnation: 1_000_001, sequence: 302, acknowledged: version() });
+    checker.check(
+        "grant",
+        &LeaseGrant { incarnation: 1_000_001, sequence: 302, version: version(), step: Some(step()) },
+    );
+    checker.check(
+        "grant-renewal",
+        &LeaseGrant { incarnation: 1_000_001, sequence: 302, version: version(), step: None },
+    );
+    checker.check("terms", &LeaseConfig::new(1_000_000_000, 200_000_000, 0.01).expect("sound terms"));
     checker.finish();
 }
--- a/crates/rollout/tests/text_format.rs
+++ b/crates/rollout/tests/text_format.rs
@@ -3,32 +3,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-use nickelflow_rollout::{Careful, Document, Standing};
+use nickelflow_rollout::{Degraded, RulesDocument, WorkerState};
 use rstest::rstest;
 
 const RULES: &str = include_str!("data/rules.toml");
 const WRITTEN: &str = include_str!("data/rules.written.toml");
 
 /// A document in which no field has its default value and each state of a worker occurs.
-fn every_field() -> Document {
-    Document {
+fn every_field() -> RulesDocument {
+    RulesDocument {
         schedulers: 3,
-        attempts: 5,
+        max_attempts: 5,
         retry_after_ms: (50, 1_500),
         quotas: BTreeMap::from([("emmental".to_owned(), 30.5), ("seeland".to_owned(), 20.0)]),
         workers: BTreeMap::from([
-            ("w1".to_owned(), Standing::Cordoned),
-            ("w2".to_owned(), Standing::Drained),
-            ("w3".to_owned(), Standing::Never),
-            ("w4".to_owned(), Standing::Pinned("seeland".to_owned())),
+            ("w1".to_owned(), WorkerState::Cordoned),
+            ("w2".to_owned(), WorkerState::Drained),
+            ("w3".to_owned(), WorkerState::Excluded),
+            ("w4".to_owned(), WorkerState::Pinned("seeland".to_owned())),
         ]),
-        careful: Careful {
-            share: 0.5,
-            workers: BTreeSet::from(["w5".to_owned(), "w6".to_owned()]),
-            others: false,
-            unlimited: false,
+        degraded: Degraded {
+            quota_share: 0.5,
+            allowed_workers: BTreeSet::from(["w5".to_owned(), "w6".to_owned()]),
+            allows_unlisted_workers: false,
+            allows_unlimited_tenants: false,
         },
-        list: 41,
+        list_version: 41,
     }
 }
 
@@ -41,7 +41,7 @@
 
 #[test]
 fn every_key_of_a_rules_document_is_read() {
-    assert_eq!(Document::parse(RULES), Ok(every_field()));
+    assert_eq!(RulesDocument::parse(RULES), Ok(every_field()));
 }
 
 #[test]
@@ -51,7 +51,7 @@
 
 #[test]
 fn the_recorded_file_reads_back_to_the_same_document() {
-    assert_eq!(Document::parse(WRITTEN), Ok(every_field()));
+    assert_eq!(RulesDocument::parse(WRITTEN), Ok(every_field()));
 }
 
 #[rstest]
@@ -62,7 +62,7 @@
     #[case] broken: &str,
     #[case] recorded: &str,
 ) {
-    let faults = Document::parse(broken).expect_err("it is broken");
+    let faults = RulesDocument::parse(broken).expect_err("it is broken");
     let texts: String = faults.iter().map(|fault| format!("{fault}\n")).collect();
     assert_recorded(name, recorded, &texts);
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -4,8 +4,8 @@
 
 use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, ServiceLimits, Tenant};
 use nickelflow_engine::{
-    hash, Answer, End, Engine, Execute, Input, Instance as Listed, Job, ListKind, LoadReport, Nanos, Order,
-    Outcome, Settings, WorkerStatus,
+    hash, AttemptResult, Endpoint, Engine, FinalAnswer, Input, Job, ListKind, LoadReport, Nanos, Outcome,
+    Output, Settings, StartAttempt, WorkerStatus,
 };
 
 use crate::wire::{self, Code, Incoming, Step};
@@ -17,7 +17,7 @@
 pub struct Instance {
     engine: Option<Wired>,
     now: Nanos,
-    orders: Vec<Order<String, ()>>,
+    orders: Vec<Output<String, ()>>,
     /// The soonest timer that has been asked for and has not come.
     armed: Option<Nanos>,
     /// The timer to ask for with this batch's answer.
@@ -72,23 +72,23 @@
         self.orders.iter().filter_map(|order| self.step(order)).chain(arm).collect()
     }
 
-    fn step<'a>(&'a self, order: &'a Order<String, ()>) -> Option<Step<'a>> {
-        let runner = |number: u32| Some(self.engine.as_ref()?.instance(number)?.name.as_str());
+    fn step<'a>(&'a self, order: &'a Output<String, ()>) -> Option<Step<'a>> {
+        let runner = |number: u32| Some(self.engine.as_ref()?.worker(number)?.name.as_str());
         Some(match order {
-            Order::Execute(Execute { id, instance, until, .. }) => {
+            Output::StartAttempt(StartAttempt { id, worker: instance, deadline: until, .. }) => {
                 Step::Route { id, runner: runner(*instance)?, max_wait_ns: until.saturating_sub(self.now) }
             }
-            Order::Cancel { id, attempt } => Step::Revoke { id, seq_no: *attempt },
+            Output::Cancel { id, attempt } => Step::Revoke { id, seq_no: *attempt },
             // In the simulator an attempt begins as it is decided.
-            Order::Withdraw { .. } => return None,
-            Order::Answer { id, answer: Answer::Refused { retry_after } } => {
+            Output::CancelUnstarted { .. } => return None,
+            Output::FinalAnswer { id, answer: FinalAnswer::Rejected { retry_after } } => {
                 Step::Decline { id, pause_ns: *retry_after }
             }
-            Order::Answer { id, answer: Answer::Failed } => Step::Lose { id },
+            Output::FinalAnswer { id, answer: FinalAnswer::Failed } => Step::Lose { id },
             // The simulator gives the client the result by itself.
-            Order::Answer { answer: Answer::Served(()), .. } => return None,
-            Order::Probe { instance } => Step::Inspect { runner: runner(*instance)? },
-            Order::Subscribe => Step::Follow { active: true },
+            Output::FinalAnswer { answer: FinalAnswer::Served(()), .. } => return None,
+            Output::Probe { worker: instance } => Step::Inspect { runner: runner(*instance)? },
+            Output::Subscribe => Step::Follow { active: true },
         })
     }
 
@@ -108,7 +108,7 @@
                     wire::Kind::Saved => ListKind::Cached,
                     wire::Kind::Failed => ListKind::Failed,
                 };
-                Input::Listed { kind, instances }
+                Input::WorkerList { kind, workers: instances }
             }
             Incoming::Ingress(ingress) => Input::Job {
                 id: ingress.id,
@@ -119,7 +119,7 @@
                     memory: ingress.mem.unwrap_or(0.0),
                     key: ingress.item.as_deref().map(|item| hash(item.as_bytes())),
                     deadline: self.now.saturating_add(ingress.left_ns),
-                    retry: ingress.retry.unwrap_or(false),
+                    is_retry: ingress.retry.unwrap_or(false),
                 },
             },
             Incoming::UnderWay { id, seq_no } => Input::Streaming { id, attempt: seq_no },
@@ -127,16 +127,16 @@
             Incoming::Resolved { id, code, seq_no, health_info } => {
                 let outcome = outcome(code);
                 let result = (outcome == Outcome::Ok).then_some(());
-                let end = End { outcome, result, report: health_info.as_ref().map(report) };
-                Input::Ended { id, attempt: seq_no, end }
+                let end = AttemptResult { outcome, result, report: health_info.as_ref().map(report) };
+                Input::AttemptEnded { id, attempt: seq_no, result: end }
             }
-            Incoming::CancelledByClient { id } => Input::Gone { id },
+            Incoming::CancelledByClient { id } => Input::ClientDisconnected { id },
             Incoming::Timer {} => {
                 self.armed = self.armed.filter(|at| *at > self.now);
                 Input::Wake
             }
-            Incoming::Sampled { runner, code, health_info } => Input::Probed {
-                instance: self.engine.as_ref()?.instance_number(&runner)?,
+            Incoming::Sampled { runner, code, health_info } => Input::ProbeCompleted {
+                worker: self.engine.as_ref()?.worker_number(&runner)?,
                 outcome: outcome(code),
                 report: health_info.as_ref().map(report),
             },
@@ -145,14 +145,14 @@
     }
 }
 
-fn listed(node: wire::Node) -> Listed<()> {
-    Listed {
+fn listed(node: wire::Node) -> Endpoint<()> {
+    Endpoint {
         name: node.runner,
         address: (),
         zone: node.hall.unwrap_or(0),
         kind: node.flavor.unwrap_or(0),
         cell: node.block.unwrap_or(0),
-        membership: match node.state {
+        status: match node.state {
             wire::State::Ready => WorkerStatus::Ready,
             wire::State::Draining => WorkerStatus::Draining,
             wire::State::Gone => WorkerStatus::Gone,
--- a/crates/simulator/src/policy/bare.rs
+++ b/crates/simulator/src/policy/bare.rs
@@ -7,7 +7,7 @@
 use std::collections::BinaryHeap;
 
 use nickelflow_dispatcher::Settings;
-use nickelflow_engine::{Answer, Execute, Nanos, Outcome};
+use nickelflow_engine::{FinalAnswer, Nanos, Outcome, StartAttempt};
 
 use super::frame::Facts;
 use super::{Input, Order, Place, Policy, Truth};
@@ -44,7 +44,7 @@
 impl Policy for Bare {
     fn handle(&mut self, now: Nanos, input: Input, _: Truth<'_>, orders: &mut Vec<Order>) {
         match input {
-            Input::Listed { kind, instances } => {
+            Input::WorkerList { kind, workers: instances } => {
                 for instance in self.facts.list(kind, instances) {
                     self.room.push(0);
                     self.place.push(None);
@@ -57,23 +57,29 @@
                 let picked = self.facts.any(&open);
                 self.open = open;
                 let Some(instance) = picked else {
-                    orders.push(Order::Answer { id, answer: Answer::Refused { retry_after: 0 } });
+                    orders.push(Order::FinalAnswer { id, answer: FinalAnswer::Rejected { retry_after: 0 } });
                     return;
                 };
                 let (until, send_by) = (job.deadline, u64::MAX);
-                orders.push(Order::Execute(Execute { id, attempt: 0, instance, until, send_by }));
+                orders.push(Order::StartAttempt(StartAttempt {
+                    id,
+                    attempt: 0,
+                    worker: instance,
+                    deadline: until,
+                    send_by,
+                }));
                 self.room[instance as usize] -= 1;
                 if self.room[instance as usize] == 0 {
                     self.close(instance);
                     self.probes.push(Reverse((now + self.tau, instance)));
                 }
             }
-            Input::Ended { id, end, .. } => {
+            Input::AttemptEnded { id, result: end, .. } => {
                 let served = end.outcome == Outcome::Ok;
-                let answer = if served { Answer::Served(()) } else { Answer::Failed };
-                orders.push(Order::Answer { id, answer });
+                let answer = if served { FinalAnswer::Served(()) } else { FinalAnswer::Failed };
+                orders.push(Order::FinalAnswer { id, answer });
             }
-            Input::Probed { instance, report, .. } => {
+            Input::ProbeCompleted { worker: instance, report, .. } => {
                 let report = report.unwrap_or_default();
                 let busy = if report.free_slots.unwrap_or(0.0) >= 1.0 { 0.0 } else { 1.0 };
                 let queue = (busy + report.queued.unwrap_or(f64::from(self.k))) as u32;
@@ -88,14 +94,14 @@
             Input::Wake => {
                 while self.probes.peek().is_some_and(|Reverse((at, _))| *at <= now) {
                     if let Some(Reverse((_, instance))) = self.probes.pop() {
-                        orders.push(Order::Probe { instance });
+                        orders.push(Order::Probe { worker: instance });
                     }
                 }
             }
-            Input::Gone { .. }
+            Input::ClientDisconnected { .. }
             | Input::Progress { .. }
             | Input::Streaming { .. }
-            | Input::Ending { .. }
+            | Input::Shutdown { .. }
             | Input::Rules { .. } => {}
         }
     }
--- a/crates/simulator/src/policy/frame.rs
+++ b/crates/simulator/src/policy/frame.rs
@@ -6,7 +6,9 @@
 
 use fnv::FnvHashMap;
 use nickelflow_dispatcher::{DeduplicationScope, Idempotency, Settings};
-use nickelflow_engine::{hash, Answer, Execute, Job, ListKind, LoadReport, Nanos, Outcome, WorkerStatus};
+use nickelflow_engine::{
+    hash, FinalAnswer, Job, ListKind, LoadReport, Nanos, Outcome, StartAttempt, WorkerStatus,
+};
 use smallvec::SmallVec;
 
 use super::{Input, Order, Place, Policy, Truth};
@@ -76,7 +78,7 @@
     }
 
     /// Takes a list. Tells what it does not know yet.
-    pub fn list(&mut self, kind: ListKind, instances: Vec<nickelflow_engine::Instance<Place>>) -> Vec<u32> {
+    pub fn list(&mut self, kind: ListKind, instances: Vec<nickelflow_engine::Endpoint<Place>>) -> Vec<u32> {
         if matches!(kind, ListKind::Failed | ListKind::Stale) {
             return Vec::new();
         }
@@ -85,7 +87,7 @@
         }
         let mut new = Vec::new();
         for instance in instances {
-            let ready = instance.membership == WorkerStatus::Ready;
+            let ready = instance.status == WorkerStatus::Ready;
             let number = *self.numbers.entry(instance.name.clone()).or_insert(self.seen.len() as u32);
             if number as usize == self.seen.len() {
                 new.push(number);
@@ -191,7 +193,7 @@
             None => self.answer(id, orders),
         }
         for instance in self.probes.drain(..) {
-            orders.push(Order::Probe { instance });
+            orders.push(Order::Probe { worker: instance });
         }
     }
 
@@ -247,7 +249,13 @@
             seen.since += 1;
         }
         let until = open.job.deadline;
-        orders.push(Order::Execute(Execute { id, attempt, instance, until, send_by: Nanos::MAX }));
+        orders.push(Order::StartAttempt(StartAttempt {
+            id,
+            attempt,
+            worker: instance,
+            deadline: until,
+            send_by: Nanos::MAX,
+        }));
     }
 
     /// The final answer, and an end to whatever is still out.
@@ -262,8 +270,8 @@
                 Idempotency::Idempotent | Idempotency::IdempotentWithKey(DeduplicationScope::All)
             );
         let retry_after = self.facts.settings.max_retry_after;
-        let answer = if harmless { Answer::Refused { retry_after } } else { Answer::Failed };
-        orders.push(Order::Answer { id, answer });
+        let answer = if harmless { FinalAnswer::Rejected { retry_after } } else { FinalAnswer::Failed };
+        orders.push(Order::FinalAnswer { id, answer });
         self.call_back(id, orders);
         self.forget(id);
     }
@@ -299,7 +307,7 @@
         }
         if outcome == Outcome::Ok && !open.over {
             open.over = true;
-            orders.push(Order::Answer { id, answer: Answer::Served(()) });
+            orders.push(Order::FinalAnswer { id, answer: FinalAnswer::Served(()) });
             self.call_back(id, orders);
         } else if !open.over {
             self.go_on(now, id, truth, orders);
@@ -311,7 +319,7 @@
 impl<P: Pick> Policy for Frame<P> {
     fn handle(&mut self, now: Nanos, input: Input, truth: Truth<'_>, orders: &mut Vec<Order>) {
         match input {
-            Input::Listed { kind, instances } => {
+            Input::WorkerList { kind, workers: instances } => {
                 if !std::mem::replace(&mut self.subscribed, true) {
                     orders.push(Order::Subscribe);
                 }
@@ -326,22 +334,24 @@
                 self.open.insert(id, Open { job, attempts: SmallVec::new(), over: false });
                 self.go_on(now, id, truth, orders);
             }
-            Input::Gone { id } => {
+            Input::ClientDisconnected { id } => {
                 if let Some(open) = self.open.get_mut(&id).filter(|open| !open.over) {
                     open.over = true;
                     self.call_back(id, orders);
                     self.forget(id);
                 }
             }
-            Input::Ended { id, attempt, end } => self.ended(now, id, attempt, end.outcome, truth, orders),
-            Input::Probed { instance, outcome, report } => {
+            Input::AttemptEnded { id, attempt, result: end } => {
+                self.ended(now, id, attempt, end.outcome, truth, orders)
+            }
+            Input::ProbeCompleted { worker: instance, outcome, report } => {
                 let report = report.filter(|_| outcome == Outcome::Ok);
                 if let (Some(seen), Some(report)) = (self.facts.seen.get_mut(instance as usize), report) {
                     (seen.report, seen.since) = (Some((now, report)), 0);
                 }
                 self.pick.probed(now, instance, report, &mut self.facts);
             }
-            Input::Ending { by } => {
+            Input::Shutdown { deadline: by } => {
                 self.ending = Some(by);
                 self.wakes.extend(self.open.keys().map(|id| Reverse((by, *id))));
             }
--- a/crates/simulator/src/policy/mod.rs
+++ b/crates/simulator/src/policy/mod.rs
@@ -33,7 +33,7 @@
 /// What a scheduler is told: jobs are numbers, and results have no content.
 pub type Input = nickelflow_engine::Input<u64, Place, ()>;
 /// What it wants done.
-pub type Order = nickelflow_engine::Order<u64, ()>;
+pub type Order = nickelflow_engine::Output<u64, ()>;
 
 /// The world as it is, for an oracle.
 #[derive(Clone, Copy)]
@@ -69,7 +69,7 @@
     }
 
     fn place(&self, instance: u32) -> Option<Place> {
-        Some(self.instance(instance)?.address)
+        Some(self.worker(instance)?.address)
     }
 }
 
--- a/crates/simulator/src/world/clients.rs
+++ b/crates/simulator/src/world/clients.rs
@@ -100,7 +100,7 @@
             slots: first.slots,
             memory: first.memory,
             key: first.key,
-            retry: self.scenario.clients.marks_retry && retries > 0,
+            is_retry: self.scenario.clients.marks_retry && retries > 0,
             deadline,
         };
         self.give(scheduler, Input::Job { id: job, job: facts });
@@ -121,7 +121,7 @@
         t.held = false;
         let scheduler = t.scheduler;
         self.note(Record::Left { job, overdue: false });
-        self.give(scheduler, Input::Gone { id: job });
+        self.give(scheduler, Input::ClientDisconnected { id: job });
         self.forget(job);
     }
 
@@ -144,7 +144,7 @@
         let (request, scheduler) = (t.request, t.scheduler);
         if held {
             self.note(Record::Left { job, overdue: true });
-            self.give(scheduler, Input::Gone { id: job });
+            self.give(scheduler, Input::ClientDisconnected { id: job });
         }
         if !over {
             self.settle(&request, Fate::Failed);
--- a/crates/simulator/src/world/faults.rs
+++ b/crates/simulator/src/world/faults.rs
@@ -122,7 +122,7 @@
                     self.at(self.now + DOOR, Ev::Unfront { scheduler, boot });
                     self.at(self.now + KILLED, Ev::Kill { scheduler });
                     self.at(self.now + KILLED + lasts, Ev::Boot { scheduler });
-                    self.give(scheduler, Input::Ending { by: self.now + ANSWERED });
+                    self.give(scheduler, Input::Shutdown { deadline: self.now + ANSWERED });
                 }
             }
             What::DiscoveryDown => {
--- a/crates/simulator/src/world/schedulers.rs
+++ b/crates/simulator/src/world/schedulers.rs
@@ -1,6 +1,8 @@
 //! Schedulers: what reaches a policy, and what it orders.
 
-use nickelflow_engine::{Answer, End, Execute, Instance, ListKind, LoadReport, Outcome, WorkerStatus};
+use nickelflow_engine::{
+    AttemptResult, Endpoint, FinalAnswer, ListKind, LoadReport, Outcome, StartAttempt, WorkerStatus,
+};
 
 use super::{Attempt, Breaks, Ev, Kept, Probe, State, World};
 use crate::discovery::{Call, Listing};
@@ -75,21 +77,21 @@
 
     fn carry(&mut self, scheduler: u32, order: Order) {
         match order {
-            Order::Execute(execute) => self.execute(scheduler, execute),
+            Order::StartAttempt(execute) => self.execute(scheduler, execute),
             Order::Cancel { id, attempt } => {
                 self.at(self.now, Ev::Back { id: AttemptId { job: id, attempt }, ending: Ending::CalledOff });
             }
             // An attempt begins here as it is decided.
-            Order::Withdraw { .. } => {}
-            Order::Answer { id, answer } => {
+            Order::CancelUnstarted { .. } => {}
+            Order::FinalAnswer { id, answer } => {
                 let answer = match answer {
-                    Answer::Served(()) => Final::Served,
-                    Answer::Refused { retry_after } => Final::Refused(retry_after),
-                    Answer::Failed => Final::Failed,
+                    FinalAnswer::Served(()) => Final::Served,
+                    FinalAnswer::Rejected { retry_after } => Final::Refused(retry_after),
+                    FinalAnswer::Failed => Final::Failed,
                 };
                 self.answer(id, answer);
             }
-            Order::Probe { instance } => self.probe(scheduler, instance),
+            Order::Probe { worker: instance } => self.probe(scheduler, instance),
             Order::Subscribe => {
                 let (way, boot) = (self.way(), self.schedulers[scheduler as usize].boot);
                 self.at(self.now + way, Ev::Ask { scheduler, boot });
@@ -157,9 +159,9 @@
         self.cut(scheduler, machine, Direction::Requests) || self.cut(scheduler, machine, Direction::Answers)
     }
 
-    fn execute(&mut self, scheduler: u32, execute: Execute<u64>) {
+    fn execute(&mut self, scheduler: u32, execute: StartAttempt<u64>) {
         // Connections here come up within a few milliseconds or not at all: nothing can outlast `send_by`.
-        let Execute { id: job, attempt, instance, until, .. } = execute;
+        let StartAttempt { id: job, attempt, worker: instance, deadline: until, .. } = execute;
         let Some(place) = self.place(scheduler, instance) else { return };
         if self.get(job).is_none() {
             return;
@@ -225,9 +227,12 @@
             }
         }
         self.note(Record::Ended { job: id.job, attempt: id.attempt, ending });
-        let end =
-            End { outcome: outcome(ending), result: (ending == Ending::Served).then_some(()), report: None };
-        self.give(scheduler, Input::Ended { id: id.job, attempt: id.attempt, end });
+        let end = AttemptResult {
+            outcome: outcome(ending),
+            result: (ending == Ending::Served).then_some(()),
+            report: None,
+        };
+        self.give(scheduler, Input::AttemptEnded { id: id.job, attempt: id.attempt, result: end });
         self.forget(id.job);
     }
 
@@ -373,7 +378,7 @@
             }
         }
         if live {
-            self.give(probe.scheduler, Input::Probed { instance: probe.instance, outcome, report });
+            self.give(probe.scheduler, Input::ProbeCompleted { worker: probe.instance, outcome, report });
         }
     }
 
@@ -388,13 +393,13 @@
             }
         }
         let (machines, workers) = (&self.machines, &self.workers);
-        let instance = |listing: Listing| Instance {
+        let instance = |listing: Listing| Endpoint {
             name: format!("w{:05}", listing.machine),
             address: Place { machine: listing.machine, address: listing.address },
             zone: 0,
             kind: 0,
             cell: machines[listing.machine as usize].rack,
-            membership: match listing.standing {
+            status: match listing.standing {
                 Standing::Ready => WorkerStatus::Ready,
                 Standing::Draining => WorkerStatus::Draining,
                 Standing::Gone => WorkerStatus::Gone,
@@ -403,7 +408,7 @@
             started: listing.started,
         };
         let instances = list.into_iter().map(instance).collect();
-        self.give(scheduler, Input::Listed { kind, instances });
+        self.give(scheduler, Input::WorkerList { kind, workers: instances });
     }
 
     /// A call for the list is at discovery.
@@ -474,7 +479,7 @@
         let s = &mut self.schedulers[scheduler as usize];
         if s.boot == boot {
             (s.watching, s.news) = (false, false);
-            self.give(scheduler, Input::Listed { kind: ListKind::Failed, instances: Vec::new() });
+            self.give(scheduler, Input::WorkerList { kind: ListKind::Failed, workers: Vec::new() });
         }
     }
 }
