--- a/crates/engine/tests/windows.rs
+++ b/crates/engine/tests/windows.rs
@@ -1,6 +1,6 @@
-//! Repeats of keyed jobs against the window in which workers drop them, in virtual time. The host stands for everything
-//! between a decision and the last byte at a worker: a queue, a permit, a connection that comes up late, a process that
-//! stands still, a write in pieces, the way. It keeps to what an order says and to nothing else.
+//! Retries of idempotent jobs with a key, checked against the deduplication window of the workers in virtual time. The host
+//! stands for everything between a decision and the arrival of the last byte at a worker: a queue, a permit, a late
+//! connect, a stalled process, a partial write, the network. It obeys the outputs and nothing else.
 
 use std::cell::Cell;
 
@@ -14,9 +14,9 @@
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
 
-fn settings(window: Nanos, connect: Nanos, group: DeduplicationScope) -> Settings {
+fn settings(window: Nanos, connect_timeout: Nanos, scope: DeduplicationScope) -> Settings {
     let class = Class {
-        idempotency: Idempotency::IdempotentWithKey(group),
+        idempotency: Idempotency::IdempotentWithKey(scope),
         deduplication_window: window,
         latency_objective: 20 * S,
         latency_stretch: 2.0,
@@ -47,14 +47,15 @@
         allows_hedging: true,
         max_attempts: 8,
         max_retry_after: S,
-        connect_timeout: connect,
+        connect_timeout,
         clock_resolution: MS,
     }
 }
 
-/// The groups change under one name with `shift`, as where another worker takes a name over.
-fn instances(count: u32, shift: u32) -> Vec<Endpoint<()>> {
-    let instance = |n: u32| Endpoint {
+/// Returns an endpoint list. With a `shift` the zone and cell under each name change, as where another worker takes a
+/// name over.
+fn endpoints(shift: u32) -> Vec<Endpoint<()>> {
+    let endpoint = |n: u32| Endpoint {
         name: format!("i{n}"),
         address: (),
         zone: (n + shift) / 2 % 2,
@@ -64,29 +65,29 @@
         weight: 1.0,
         started: None,
     };
-    (0..count).map(instance).collect()
+    (0..6).map(endpoint).collect()
 }
 
-/// What lies between a decision and the worker, drawn: in parts (of 1,000) of the longest time of each.
+/// The delays between a decision and the end at the worker, each in thousandths of its longest time.
 #[derive(Clone, Debug)]
-struct Way {
+struct Delays {
     permit: u64,
     connect: u64,
     stall: u64,
     travel: u64,
-    /// How long the worker has it, and how it ends then.
-    runs: u64,
+    run: u64,
+    /// The index of the outcome among the [`OUTCOMES`].
     outcome: usize,
 }
 
-fn way() -> impl Strategy<Value = Way> {
+fn delays() -> impl Strategy<Value = Delays> {
     (0..1_000u64, 0..1_000u64, 0..1_000u64, 0..1_000u64, 0..1_000u64, 0..5usize).prop_map(
-        |(permit, connect, stall, travel, runs, outcome)| Way {
+        |(permit, connect, stall, travel, run, outcome)| Delays {
             permit,
             connect,
             stall,
             travel,
-            runs,
+            run,
             outcome,
         },
     )
@@ -95,126 +96,189 @@
 const OUTCOMES: [Outcome; 5] =
     [Outcome::Reset, Outcome::Error, Outcome::ConnectFailed, Outcome::Reset, Outcome::Timeout];
 
-struct Reached {
+/// An attempt whose last byte has arrived at a worker.
+struct Arrival {
     at: Nanos,
-    group: (u32, u32),
-    number: u32,
+    zone: u32,
+    cell: u32,
+    attempt: u32,
 }
 
-/// Plays one job; what of it reached workers whole, in that order.
-fn play(
+/// The parameters of one run.
+#[derive(Clone, Copy, Debug)]
+struct Parameters {
     window: Nanos,
-    connect: Nanos,
-    group: DeduplicationScope,
-    ways: &[Way],
-    shift_at: Option<Nanos>,
-) -> Vec<Reached> {
-    let mut engine: Engine<u32, (), ()> = Engine::new(settings(window, connect, group), 7).expect("settings");
-    let (mut now, mut orders, mut reached) = (S, vec![], vec![]);
-    let mut later: Vec<(Nanos, Input<u32, (), ()>)> = vec![];
-    later.push((now, Input::WorkerList { kind: ListKind::Complete, workers: instances(6, 0) }));
-    let job =
-        Job { class: 0, tenant: None, slots: 1.0, memory: 0.0, key: None, is_retry: false, deadline: 60 * S };
-    later.push((2 * S, Input::Job { id: 1, job }));
-    if let Some(at) = shift_at {
-        later.push((2 * S + at, Input::WorkerList { kind: ListKind::Complete, workers: instances(6, 1) }));
+    connect_timeout: Nanos,
+    scope: DeduplicationScope,
+    /// When the zones and cells shift, after the job came.
+    shift_after: Option<Nanos>,
+}
+
+const JOB_AT: Nanos = 2 * S;
+const END_AT: Nanos = 70 * S;
+
+type TestInput = Input<u32, (), ()>;
+
+/// A host in virtual time with one job.
+struct Host {
+    parameters: Parameters,
+    engine: Engine<u32, (), ()>,
+    now: Nanos,
+    /// The inputs to come, with their times.
+    pending: Vec<(Nanos, TestInput)>,
+    arrivals: Vec<Arrival>,
+}
+
+impl Host {
+    fn new(parameters: Parameters) -> Host {
+        let Parameters { window, connect_timeout, scope, shift_after } = parameters;
+        let engine = Engine::new(settings(window, connect_timeout, scope), 7).expect("settings");
+        let list = |shift| Input::WorkerList { kind: ListKind::Complete, workers: endpoints(shift) };
+        let job = Job {
+            class: 0,
+            tenant: None,
+            slots: 1.0,
+            memory: 0.0,
+            key: None,
+            is_retry: false,
+            deadline: 60 * S,
+        };
+        let mut pending = vec![(S, list(0)), (JOB_AT, Input::Job { id: 1, job })];
+        pending.extend(shift_after.map(|after| (JOB_AT + after, list(1))));
+        Host { parameters, engine, now: S, pending, arrivals: vec![] }
     }
-    let mut ways = ways.iter();
-    loop {
-        let wake = engine.next_wake().map(|at| (at, usize::MAX));
-        let soonest = later.iter().enumerate().map(|(n, (at, _))| (*at, n)).chain(wake).min();
-        let Some((at, which)) = soonest.filter(|(at, _)| *at < 70 * S) else { return reached };
-        now = now.max(at);
-        let input = if which == usize::MAX { Input::Wake } else { later.remove(which).1 };
-        engine.handle(now, input, &mut orders).expect("no misuse");
-        for order in orders.drain(..) {
-            match order {
-                Output::Probe { worker: instance } => {
-                    let report = Some(LoadReport { free_slots: Some(4.0), ..LoadReport::default() });
-                    later.push((
-                        now + MS,
-                        Input::ProbeCompleted { worker: instance, outcome: Outcome::Ok, report },
-                    ));
-                }
-                Output::StartAttempt(StartAttempt {
-                    id,
-                    attempt,
-                    worker: instance,
-                    deadline: until,
-                    send_by,
-                }) => {
-                    let Some(way) = ways.next() else { return reached };
-                    let of = |part: u64, longest: Nanos| longest / 1_000 * part;
-                    // The first byte goes out after these, if it is not too late by then.
-                    let begins =
-                        now + of(way.permit, connect) + of(way.connect, connect) + of(way.stall, 300 * MS);
-                    // A margin is for the way that is left: the last byte takes as long as a connection at most.
-                    let arrives = begins + of(way.travel, connect.min(window / 4));
-                    let shifted = shift_at.is_some_and(|at| 2 * S + at <= now);
-                    let there = &instances(6, u32::from(shifted))[instance as usize];
-                    let ends = arrives + of(way.runs, window / 2);
-                    let outcome = OUTCOMES[way.outcome];
-                    let (at, outcome) = if begins >= send_by.min(until) {
-                        (send_by.min(until).max(now), Outcome::NotSent)
-                    } else if outcome == Outcome::ConnectFailed {
-                        (begins, outcome)
-                    } else {
-                        reached.push(Reached {
-                            at: arrives,
-                            group: (there.zone, there.cell),
-                            number: attempt,
-                        });
-                        (ends.min(until).max(now), outcome)
-                    };
-                    later.push((at, Input::AttemptEnded { id, attempt, result: outcome.into() }));
+
+    /// Runs until the end, or until there is an attempt more than there are delays.
+    fn run(mut self, delays: &[Delays]) -> Vec<Arrival> {
+        let mut delays = delays.iter();
+        while let Some(input) = self.next_input() {
+            let mut outputs = vec![];
+            self.engine.handle(self.now, input, &mut outputs).expect("a possible input");
+            for output in outputs {
+                match output {
+                    Output::Probe { worker } => self.complete_probe(worker),
+                    Output::StartAttempt(start) => {
+                        let Some(delays) = delays.next() else { return self.arrivals };
+                        self.start_attempt(&start, delays);
+                    }
+                    Output::FinalAnswer { .. }
+                    | Output::Cancel { .. }
+                    | Output::CancelUnstarted { .. }
+                    | Output::Subscribe => {}
                 }
-                Output::FinalAnswer { .. }
-                | Output::Cancel { .. }
-                | Output::CancelUnstarted { .. }
-                | Output::Subscribe => {}
             }
         }
+        self.arrivals
+    }
+
+    /// Moves the time to the earliest input and returns it; of inputs at the same time a wake comes last.
+    fn next_input(&mut self) -> Option<TestInput> {
+        let earliest = self.pending.iter().enumerate().map(|(index, (at, _))| (*at, index)).min();
+        let wake_at = self.engine.next_wake();
+        let is_wake = match (earliest, wake_at) {
+            (Some((at, _)), Some(wake_at)) => wake_at < at,
+            (None, Some(_)) => true,
+            (_, None) => false,
+        };
+        let at = if is_wake { wake_at } else { earliest.map(|(at, _)| at) };
+        let at = at.filter(|at| *at < END_AT)?;
+        self.now = self.now.max(at);
+        if is_wake {
+            return Some(Input::Wake);
+        }
+        let (_, index) = earliest?;
+        Some(self.pending.remove(index).1)
+    }
+
+    fn complete_probe(&mut self, worker: u32) {
+        let report = Some(LoadReport { free_slots: Some(4.0), ..LoadReport::default() });
+        let completed = Input::ProbeCompleted { worker, outcome: Outcome::Ok, report };
+        self.pending.push((self.now + MS, completed));
+    }
+
+    fn start_attempt(&mut self, start: &StartAttempt<u32>, delays: &Delays) {
+        let Parameters { window, connect_timeout, shift_after, .. } = self.parameters;
+        let delay = |thousandths: u64, longest: Nanos| longest / 1_000 * thousandths;
+        // The first byte is written after these, unless it is too late by then.
+        let written_at = self.now
+            + delay(delays.permit, connect_timeout)
+            + delay(delays.connect, connect_timeout)
+            + delay(delays.stall, 300 * MS);
+        // A margin is left for the network: the last byte travels as long as a connect takes at most.
+        let arrived_at = written_at + delay(delays.travel, connect_timeout.min(window / 4));
+        let ended_at = arrived_at + delay(delays.run, window / 2);
+        let give_up_at = start.send_by.min(start.deadline);
+        let outcome = OUTCOMES[delays.outcome];
+        let (at, outcome) = if written_at >= give_up_at {
+            (give_up_at.max(self.now), Outcome::NotSent)
+        } else if outcome == Outcome::ConnectFailed {
+            (written_at, outcome)
+        } else {
+            let has_shifted = shift_after.is_some_and(|after| JOB_AT + after <= self.now);
+            let worker = &endpoints(u32::from(has_shifted))[start.worker as usize];
+            let Endpoint { zone, cell, .. } = *worker;
+            self.arrivals.push(Arrival { at: arrived_at, zone, cell, attempt: start.attempt });
+            (ended_at.min(start.deadline).max(self.now), outcome)
+        };
+        let ended = Input::AttemptEnded { id: start.id, attempt: start.attempt, result: outcome.into() };
+        self.pending.push((at, ended));
     }
 }
 
+/// Returns whether a worker deduplicates what has arrived at another.
+fn is_in_scope(scope: DeduplicationScope, first: &Arrival, retry: &Arrival) -> bool {
+    match scope {
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => retry.zone == first.zone,
+        DeduplicationScope::Cell => retry.cell == first.cell,
+    }
+}
+
+fn parameters_and_delays() -> impl Strategy<Value = (Parameters, Vec<Delays>)> {
+    let window = prop_oneof![100..1_000u64, 1_000..8_000u64, 8_000..40_000u64];
+    let scope = prop_oneof![
+        Just(DeduplicationScope::All),
+        Just(DeduplicationScope::Zone),
+        Just(DeduplicationScope::Cell)
+    ];
+    let shift_after = prop::option::weighted(0.3, 0..4_000u64);
+    (window, 20..1_500u64, scope, prop::collection::vec(delays(), 8), shift_after).prop_map(
+        |(window, connect_timeout, scope, delays, shift_after)| {
+            let parameters = Parameters {
+                window: window * MS,
+                connect_timeout: connect_timeout * MS,
+                scope,
+                shift_after: shift_after.map(|after| after * MS),
+            };
+            (parameters, delays)
+        },
+    )
+}
+
 #[test]
-fn no_repeat_reaches_a_worker_outside_the_window_or_the_group_of_the_first() {
+fn no_retry_arrives_after_the_deduplication_window_or_outside_its_scope() {
     let mut runner = TestRunner::new_with_rng(
         Config { cases: 4_000, failure_persistence: None, ..Config::default() },
         TestRng::deterministic_rng(RngAlgorithm::ChaCha),
     );
-    let windows = prop_oneof![100..1_000u64, 1_000..8_000u64, 8_000..40_000u64];
-    let groups = prop_oneof![
-        Just(DeduplicationScope::All),
-        Just(DeduplicationScope::Zone),
-        Just(DeduplicationScope::Cell)
-    ];
-    let shift = prop::option::weighted(0.3, 0..4_000u64);
-    let case = (windows, 20..1_500u64, groups, prop::collection::vec(way(), 8), shift);
-    let (repeats, last) = (Cell::new(0u32), Cell::new(0.0f64));
+    let (retries, latest) = (Cell::new(0u32), Cell::new(0.0f64));
     runner
-        .run(&case, |(window, connect, group, ways, shift)| {
-            let (window, connect) = (window * MS, connect * MS);
-            let reached = play(window, connect, group, &ways, shift.map(|ms| ms * MS));
-            if let Some((first, rest)) = reached.split_first() {
-                for repeat in rest {
-                    let part = (repeat.at - first.at) as f64 / window as f64;
-                    prop_assert!(part < 1.0, "attempt {} after {part} of the window", repeat.number);
-                    let same = match group {
-                        DeduplicationScope::All => true,
-                        DeduplicationScope::Zone => repeat.group.0 == first.group.0,
-                        DeduplicationScope::Cell => repeat.group.1 == first.group.1,
-                    };
-                    prop_assert!(same, "attempt {} left the group", repeat.number);
-                    repeats.set(repeats.get() + 1);
-                    last.set(last.get().max(part));
-                }
+        .run(&parameters_and_delays(), |(parameters, delays)| {
+            let arrivals = Host::new(parameters).run(&delays);
+            let Some((first, rest)) = arrivals.split_first() else { return Ok(()) };
+            for retry in rest {
+                let share = (retry.at - first.at) as f64 / parameters.window as f64;
+                prop_assert!(share < 1.0, "attempt {} after {share} of the window", retry.attempt);
+                let in_scope = is_in_scope(parameters.scope, first, retry);
+                prop_assert!(in_scope, "attempt {} left the scope", retry.attempt);
+                retries.set(retries.get() + 1);
+                latest.set(latest.get().max(share));
             }
             Ok(())
         })
         .unwrap_or_else(|e| panic!("{e}"));
-    let (repeats, last) = (repeats.get(), last.get());
-    println!("{repeats} repeats, the latest after {last:.3} of its window");
-    assert!(repeats > 1_000, "only {repeats} repeats: the case is not played");
-    assert!(last > 0.5, "no repeat comes late in its window: {last}");
+    let (retries, latest) = (retries.get(), latest.get());
+    println!("{retries} retries, the latest after {latest:.3} of its window");
+    assert!(retries > 1_000, "only {retries} retries: too few to show anything");
+    assert!(latest > 0.5, "no retry comes late in its window: {latest}");
 }
