--- a/crates/daemon/src/core.rs
+++ b/crates/daemon/src/core.rs
@@ -15,9 +15,9 @@
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use nickelflow_dispatcher::Idempotency;
-pub use nickelflow_engine::permits::Stop;
+pub use nickelflow_engine::permits::StopLevel;
 use nickelflow_engine::permits::Violation;
-use nickelflow_engine::{Endpoint, Engine, Input as Happened, Job as Facts, Nanos, Output};
+use nickelflow_engine::{Endpoint, Engine, Input as Happened, Job as Facts, JobViolation, Nanos, Output};
 use nickelflow_engine::{ListKind, LoadReport, Outcome, Rules, Settings, SettingsError};
 use tokio::sync::{mpsc, oneshot, watch};
 use tracing::{debug, warn};
@@ -156,7 +156,7 @@
     pub until: Instant,
     /// No byte of it may be written from then on.
     pub send_by: Option<Instant>,
-    pub stop: watch::Receiver<Stop>,
+    pub stop: watch::Receiver<StopLevel>,
     pub under: Option<Under>,
     pub repeats: Repeats,
     pub parcel: Arc<P>,
@@ -233,7 +233,7 @@
     counters: Shared,
     waiting: HashMap<u64, Waiting<P>>,
     /// The way to stop an execution, until it has ended.
-    stops: HashMap<(u64, u32), watch::Sender<Stop>>,
+    stops: HashMap<(u64, u32), watch::Sender<StopLevel>>,
     orders: Vec<Output<u64, Bytes>>,
     agreed: Option<Agreed>,
 }
@@ -356,9 +356,10 @@
         if let Err(misuse) = self.engine.handle(now, happened, &mut orders) {
             warn!(%misuse, "the core and its engine disagree");
         }
-        for (job, Violation { act, denial }) in self.engine.take_violations() {
+        for JobViolation { id: job, violation } in self.engine.take_violations() {
+            let Violation { operation, denial } = violation;
             let request = self.waiting.get(&job).map(|waiting| waiting.request_id.clone());
-            violations::found(&self.counters, act, denial, &request.unwrap_or(HeaderValue::from(job)));
+            violations::found(&self.counters, operation, denial, &request.unwrap_or(HeaderValue::from(job)));
         }
         if let Some(job) = wants_attempt.filter(|job| self.waiting.contains_key(job) && !names(&orders, *job))
         {
@@ -376,15 +377,15 @@
             Output::Cancel { id, attempt } => {
                 if let Some(stop) = self.stops.get(&(id, attempt)) {
                     self.counters.cancels.add();
-                    stop.send_replace(Stop::Now);
+                    stop.send_replace(StopLevel::Immediate);
                 }
             }
             Output::CancelUnstarted { id, attempt } => {
                 if let Some(stop) = self.stops.get(&(id, attempt)) {
                     stop.send_if_modified(|now| {
-                        let before = *now == Stop::No;
+                        let before = *now == StopLevel::Continue;
                         if before {
-                            *now = Stop::Unbegun;
+                            *now = StopLevel::IfUnstarted;
                         }
                         before
                     });
@@ -427,7 +428,7 @@
             true => Under { version: agreed.version.clone(), lapses: Some(agreed.until) },
             false => Under { version: agreed.careful.clone(), lapses: None },
         });
-        let (stop, stopped) = watch::channel(Stop::No);
+        let (stop, stopped) = watch::channel(StopLevel::Continue);
         self.stops.insert((id, attempt), stop);
         (self.carry_out)(Order::Execute(Execute {
             job: id,
--- a/crates/daemon/src/counters.rs
+++ b/crates/daemon/src/counters.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-use nickelflow_engine::permits::{Act, Denial};
+use nickelflow_engine::permits::{Denial, Operation};
 use nickelflow_engine::Outcome;
 
 macro_rules! counters {
@@ -12,7 +12,7 @@
         #[derive(Default)]
         pub struct Counters {
             $(pub $name: Counter,)*
-            by_violation: [[Counter; Denial::ALL.len()]; Act::ALL.len()],
+            by_violation: [[Counter; Denial::ALL.len()]; Operation::ALL.len()],
         }
 
         impl fmt::Display for Counters {
@@ -21,8 +21,8 @@
                 for (n, (name, counter)) in all.into_iter().enumerate() {
                     write!(f, "{}{name}={}", if n == 0 { "" } else { " " }, counter.get())?;
                 }
-                for (act, denial) in self.kinds_of_violation() {
-                    write!(f, " violation_{}_{}={}", act.name(), denial.name(), self.violation(act, denial).get())?;
+                for (operation, denial) in self.kinds_of_violation() {
+                    write!(f, " violation_{}_{}={}", operation.name(), denial.name(), self.violation(operation, denial).get())?;
                 }
                 Ok(())
             }
@@ -53,18 +53,19 @@
 
 impl Counters {
     /// The counter of one kind of violation.
-    pub fn violation(&self, act: Act, denial: Denial) -> &Counter {
+    pub fn violation(&self, operation: Operation, denial: Denial) -> &Counter {
         let place = |found: Option<usize>| found.unwrap_or_default();
-        let act = place(Act::ALL.iter().position(|known| *known == act));
+        let operation = place(Operation::ALL.iter().position(|known| *known == operation));
         let denial = place(Denial::ALL.iter().position(|known| *known == denial));
-        &self.by_violation[act][denial]
+        &self.by_violation[operation][denial]
     }
 
     /// The kinds of violation that were ever found.
-    fn kinds_of_violation(&self) -> impl Iterator<Item = (Act, Denial)> + '_ {
-        let all =
-            Act::ALL.into_iter().flat_map(|act| Denial::ALL.into_iter().map(move |denial| (act, denial)));
-        all.filter(|(act, denial)| self.violation(*act, *denial).get() > 0)
+    fn kinds_of_violation(&self) -> impl Iterator<Item = (Operation, Denial)> + '_ {
+        let all = Operation::ALL
+            .into_iter()
+            .flat_map(|operation| Denial::ALL.into_iter().map(move |denial| (operation, denial)));
+        all.filter(|(operation, denial)| self.violation(*operation, *denial).get() > 0)
     }
 
     /// Counts the end of an attempt.
--- a/crates/daemon/src/execution.rs
+++ b/crates/daemon/src/execution.rs
@@ -9,7 +9,7 @@
 use hyper::header::{HeaderName, HeaderValue, CONTENT_LENGTH, HOST};
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Request, StatusCode, Uri};
-use nickelflow_engine::permits::{Act, Denial};
+use nickelflow_engine::permits::{Denial, Operation};
 use nickelflow_engine::{LoadReport, Outcome};
 use tokio::sync::{mpsc, watch};
 use tokio::time::timeout;
@@ -17,7 +17,7 @@
 
 use crate::config::Links;
 use crate::connection::Written;
-use crate::core::{End, Execute, Input, Repeats, Stop, Under};
+use crate::core::{End, Execute, Input, Repeats, StopLevel, Under};
 use crate::counters::Shared;
 use crate::lines::Lines;
 use crate::violations;
@@ -64,7 +64,7 @@
     number: (u64, u32),
     address: SocketAddr,
     until: Instant,
-    stop: watch::Receiver<Stop>,
+    stop: watch::Receiver<StopLevel>,
     under: Option<Under>,
     /// No byte of it is written from then on, for a repeat's window is over.
     window: Option<Instant>,
@@ -95,7 +95,7 @@
 }
 
 /// Returns once an attempt may go no further than that.
-async fn stopped(mut stop: watch::Receiver<Stop>, least: Stop) {
+async fn stopped(mut stop: watch::Receiver<StopLevel>, least: StopLevel) {
     // A sender that is gone can stop nothing any more.
     if stop.wait_for(|stop| *stop >= least).await.is_err() {
         std::future::pending::<()>().await;
@@ -125,7 +125,7 @@
             // An end that crosses the cancel counts: what it tells is known.
             biased;
             done = self.attempt(made, &parcel, &mut trace) => done,
-            () = stopped(stop, Stop::Now) => (Outcome::Cancelled.into(), None),
+            () = stopped(stop, StopLevel::Immediate) => (Outcome::Cancelled.into(), None),
             () = tokio::time::sleep_until(until.into()) => (Outcome::Timeout.into(), None),
         };
         debug!(
@@ -163,7 +163,7 @@
             // the worker's leave, the client's. What comes later still, the guard looks for.
             let lease = tokio::select! {
                 biased;
-                () = stopped(made.stop.clone(), Stop::Unbegun) => Err(Outcome::NotSent),
+                () = stopped(made.stop.clone(), StopLevel::IfUnstarted) => Err(Outcome::NotSent),
                 () = tokio::time::sleep_until(given_up.into()) => Err(Outcome::NotSent),
                 lease = self.pool.lease(made.address, wanted, self.links.connect) => lease,
             };
@@ -191,7 +191,7 @@
             let sent = lease.connection.send(request, guard).await;
             trace.written = lease.connection.bytes_written();
             if let Some(denial) = lease.connection.violation() {
-                violations::found(&self.counters, Act::Write, denial, &parcel.request_id);
+                violations::found(&self.counters, Operation::Write, denial, &parcel.request_id);
             }
             let broken = match sent {
                 Ok(answer) => break (lease, answer),
@@ -199,7 +199,7 @@
             };
             match broken.written {
                 // Too much came between its head and its first byte: it is written anew.
-                Written::Denied(Denial::HeadOutdated) if rewrites < REWRITES => {
+                Written::Denied(Denial::HeadersOutdated) if rewrites < REWRITES => {
                     rewrites += 1;
                     wanted = Wanted::New;
                 }
--- a/crates/daemon/src/places.rs
+++ b/crates/daemon/src/places.rs
@@ -15,7 +15,7 @@
 use hyper::StatusCode;
 use hyper_util::rt::TokioIo;
 use hyper_util::service::TowerToHyperService;
-use nickelflow_engine::permits::{self, Act, CloseFacts};
+use nickelflow_engine::permits::{self, CloseFacts, Operation};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
@@ -313,18 +313,18 @@
     .await;
     let request = visit.request();
     let facts = CloseFacts {
-        unanswered: visit.busy(),
+        has_unanswered_request: visit.busy(),
         // It is answered with the close, below.
-        half_read: false,
+        has_partial_request: false,
         // One that does not read has had its time.
-        unwritten: visit.stuck() && reason == CloseReason::Shed,
-        client_left: reason == CloseReason::ClientLeft,
+        has_unwritten_response: visit.stuck() && reason == CloseReason::Shed,
+        client_disconnected: reason == CloseReason::ClientLeft,
     };
     let late = matches!(reason, CloseReason::Shed | CloseReason::TooSlow);
     debug!(client = visit.number, ?reason, unanswered = ?request, "client closed");
     if let Err(denial) = permits::close(facts) {
         let none = HeaderValue::from_static("none");
-        violations::found(&counters, Act::Close, denial, request.as_ref().unwrap_or(&none));
+        violations::found(&counters, Operation::Close, denial, request.as_ref().unwrap_or(&none));
     }
     // With it goes what it was serving.
     drop(connection);
--- a/crates/daemon/src/service_client.rs
+++ b/crates/daemon/src/service_client.rs
@@ -140,7 +140,7 @@
         let id = self.open.open(&job.parcel.request_id);
         // Sent on, an instance could not tell the two apart.
         let _id = id.ok_or(Rejection::new(StatusCode::CONFLICT, "request-id: open already"))?;
-        if permits::take(Instant::now(), self.shutdown.answered_by()).is_err() {
+        if permits::admit(Instant::now(), self.shutdown.answered_by()).is_err() {
             return Err(Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "ending"));
         }
         let request_id = job.parcel.request_id.clone();
--- a/crates/daemon/src/violations.rs
+++ b/crates/daemon/src/violations.rs
@@ -2,14 +2,14 @@
 //! zero fails tests and soaks.
 
 use hyper::header::HeaderValue;
-use nickelflow_engine::permits::{Act, Denial};
+use nickelflow_engine::permits::{Denial, Operation};
 use tracing::error;
 
 use crate::counters::Counters;
 
 /// Takes note of one.
-pub fn found(counters: &Counters, act: Act, denial: Denial, request: &HeaderValue) {
+pub fn found(counters: &Counters, operation: Operation, denial: Denial, request: &HeaderValue) {
     counters.violations.add();
-    counters.violation(act, denial).add();
-    error!(act = act.name(), denial = denial.name(), ?request, "a rule was broken");
+    counters.violation(operation, denial).add();
+    error!(act = operation.name(), denial = denial.name(), ?request, "a rule was broken");
 }
--- a/crates/daemon/src/write_guard.rs
+++ b/crates/daemon/src/write_guard.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use nickelflow_engine::permits::{self, Denial, Permit, Stop, WriteFacts};
+use nickelflow_engine::permits::{self, Denial, Permit, StopLevel, WriteFacts};
 use tokio::sync::watch;
 
 /// The time left that a head tells was read at most this long before its first byte, and is told shorter by as much: the
@@ -36,7 +36,7 @@
 
 /// What bounds the write of one attempt.
 pub struct WriteGuard {
-    pub stop: watch::Receiver<Stop>,
+    pub stop: watch::Receiver<StopLevel>,
     pub client: Presence,
     /// When its client gives up.
     pub deadline: Instant,
@@ -53,13 +53,13 @@
     pub fn permit(&self, begun: bool) -> Result<Permit<()>, Denial> {
         let facts = WriteFacts {
             now: Instant::now(),
-            begun,
+            started: begun,
             stop: *self.stop.borrow(),
-            client_left: !begun && self.client.has_left(),
+            client_disconnected: !begun && self.client.has_left(),
             deadline: self.deadline,
-            window: self.window,
-            lapses: self.lapses,
-            head_good_until: self.head_read + HEAD_AGE,
+            resend_deadline: self.window,
+            rules_valid_until: self.lapses,
+            headers_valid_until: self.head_read + HEAD_AGE,
         };
         permits::write(&facts)
     }
@@ -67,7 +67,10 @@
     /// What a write that began with a permit has broken all the same, as the process stood still in it.
     pub fn broken_by(&self, written: Instant) -> Option<Denial> {
         let over = |until: Option<Instant>| until.is_some_and(|until| until <= written);
-        let found = [(over(self.window), Denial::WindowOver), (over(self.lapses), Denial::RulesLapsed)];
+        let found = [
+            (over(self.window), Denial::DeduplicationWindowExpired),
+            (over(self.lapses), Denial::RulesExpired),
+        ];
         found.into_iter().find(|(broken, _)| *broken).map(|(_, denial)| denial)
     }
 
--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use nickelflow_daemon::config::Links;
-use nickelflow_daemon::core::{Execute, Input, Repeats, Stop};
+use nickelflow_daemon::core::{Execute, Input, Repeats, StopLevel};
 use nickelflow_daemon::counters::Shared;
 use nickelflow_daemon::execution::{Instances, Parcel};
 use nickelflow_daemon::write_guard::Presence;
@@ -47,8 +47,8 @@
         address: SocketAddr,
         repeats: Repeats,
         send_by: Option<Instant>,
-    ) -> (watch::Sender<Stop>, JoinHandle<()>) {
-        let (stop, stopped) = watch::channel(Stop::No);
+    ) -> (watch::Sender<StopLevel>, JoinHandle<()>) {
+        let (stop, stopped) = watch::channel(StopLevel::Continue);
         let parcel = Parcel {
             method: "POST".parse().expect("a method"),
             target: "/api".parse().expect("a target"),
@@ -261,7 +261,7 @@
             _ = attempt => assert_eq!(pool.end().await, Outcome::Reset),
         }
     };
-    stop.send_replace(Stop::Unbegun);
+    stop.send_replace(StopLevel::IfUnstarted);
     assert_eq!(pool.end().await, Outcome::NotSent);
     assert_eq!(accept(&listener).await.peer_addr().ok(), crowd.local_addr().ok());
     drop(pool);
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: inputs in, orders out.
+//! The engine: takes inputs, has the dispatcher decide on them, and returns outputs.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -9,191 +9,209 @@
     WorkerEntry, WorkerId, WorkerStatus,
 };
 
-use crate::instances::{Instances, KnownWorker};
-use crate::interface::{AttemptResult, EngineError, FinalAnswer, Input, Job, Output, StartAttempt};
-use crate::open_job::{Attempt, OpenJob, Standing};
-use crate::permits::{self, Act, AttemptFacts, Denial, Violation};
+use crate::error::EngineError;
+use crate::input::{AttemptResult, Endpoint, Input, Job};
+use crate::open_job::{Attempt, AttemptState, OpenJob};
+use crate::output::{FinalAnswer, Output, StartAttempt};
+use crate::permits::{self, AttemptFacts, Denial, Operation, Violation};
+use crate::worker_registry::{KnownWorker, WorkerRegistry};
 
-/// Violations that a host has not taken note of yet, at most: one that never does must not grow for them.
-const MOST_VIOLATIONS: usize = 1_024;
+/// The largest number of violations that are kept for the host: a host that never takes them must not let memory grow.
+const MAX_VIOLATIONS: usize = 1_024;
 
-/// What of the settings the permits ask for.
-struct Terms {
+/// The settings on which permits are decided.
+struct PermitSettings {
     classes: Vec<Class>,
-    connect: Nanos,
-    most_attempts: u32,
-    parallel: bool,
+    connect_timeout: Nanos,
+    max_attempts: u32,
+    allows_hedging: bool,
 }
 
-/// Hosts one [`Dispatcher`]; see the [crate's page](crate).
+impl PermitSettings {
+    fn new(settings: &Settings) -> Self {
+        PermitSettings {
+            classes: settings.classes.clone(),
+            connect_timeout: settings.connect_timeout,
+            max_attempts: settings.max_attempts,
+            allows_hedging: settings.allows_hedging,
+        }
+    }
+
+    /// Returns a class of the settings; an index that is out of range means the last.
+    fn class(&self, class: u32) -> Option<&Class> {
+        self.classes.get(class as usize).or(self.classes.last())
+    }
+}
+
+/// A violation, with the job that it concerns.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct JobViolation<J> {
+    /// The host's id of the job.
+    pub id: J,
+    /// The rule that was broken.
+    pub violation: Violation,
+}
+
+/// Hosts one [`Dispatcher`]; see the [crate's documentation](crate).
 pub struct Engine<J, A, R> {
     dispatcher: Dispatcher,
+    /// The time of the last input.
     now: Nanos,
-    numbers: HashMap<J, u64>,
-    open: HashMap<u64, OpenJob<J>>,
-    terms: Terms,
-    violations: Vec<(J, Violation)>,
-    next: u64,
-    instances: Instances<A>,
+    requests: HashMap<J, RequestId>,
+    open_jobs: HashMap<RequestId, OpenJob<J>>,
+    permit_settings: PermitSettings,
+    violations: Vec<JobViolation<J>>,
+    next_request: u64,
+    workers: WorkerRegistry<A>,
+    /// The times at which the dispatcher asked to be woken, the earliest first.
     wakes: BinaryHeap<Reverse<Nanos>>,
+    /// The dispatcher's actions on the event in hand; kept for its allocation.
     actions: Vec<Action>,
-    /// Events that carrying out the module's actions has led to: they come after those actions.
+    /// Events to which the dispatcher's own actions have led. The dispatcher gets them after those actions are applied.
     follow_ups: VecDeque<Event>,
-    orders: Vec<Output<J, R>>,
+    outputs: Vec<Output<J, R>>,
 }
 
 impl<J: Clone + Eq + Hash, A, R> Engine<J, A, R> {
-    /// An engine that knows no instances yet. The seed is that of its random choices.
+    /// Creates an engine that knows no workers yet. `seed` initializes its random choices.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first setting that is out of its range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        let terms = Terms {
-            classes: settings.classes.clone(),
-            connect: settings.connect_timeout,
-            most_attempts: settings.max_attempts,
-            parallel: settings.allows_hedging,
-        };
+        let permit_settings = PermitSettings::new(&settings);
         Ok(Engine {
             dispatcher: Dispatcher::new(settings, seed)?,
-            terms,
-            violations: Vec::new(),
             now: 0,
-            numbers: HashMap::new(),
-            open: HashMap::new(),
-            next: 0,
-            instances: Instances::new(),
+            requests: HashMap::new(),
+            open_jobs: HashMap::new(),
+            permit_settings,
+            violations: Vec::new(),
+            next_request: 0,
+            workers: WorkerRegistry::new(),
             wakes: BinaryHeap::new(),
             actions: Vec::new(),
             follow_ups: VecDeque::new(),
-            orders: Vec::new(),
+            outputs: Vec::new(),
         })
     }
 
-    /// The instance behind a number in an order.
+    /// Returns the worker with a number that an output has named.
     pub fn worker(&self, number: u32) -> Option<&KnownWorker<A>> {
-        self.instances.get(number)
+        self.workers.get(number)
     }
 
-    /// The number of an instance that has been listed under this name.
+    /// Returns the number of a worker that has been listed under this name.
     pub fn worker_number(&self, name: &str) -> Option<u32> {
-        self.instances.number(name)
+        self.workers.number(name)
     }
 
-    /// Jobs that are not forgotten yet: without an answer, or with attempts out.
+    /// Returns the number of jobs that are not answered yet or have attempts whose end is still to be reported.
     pub fn open_jobs(&self) -> usize {
-        self.open.len()
+        self.open_jobs.len()
     }
 
-    /// What the decisions ordered and no permit was given for since this was last asked, with the jobs: faults of this
-    /// program, which have come to nothing outside.
-    pub fn take_violations(&mut self) -> Vec<(J, Violation)> {
+    /// Returns the violations found since the last call: actions of the dispatcher that no permit was granted for, so that
+    /// they had no effect outside. Each is a fault of this program.
+    pub fn take_violations(&mut self) -> Vec<JobViolation<J>> {
         std::mem::take(&mut self.violations)
     }
 
-    /// When it next wants an [`Input::Wake`], if nothing comes before.
+    /// Returns when [`Input::Wake`] is due if no other input comes before.
     pub fn next_wake(&self) -> Option<Nanos> {
         self.wakes.peek().map(|at| at.0)
     }
 
-    /// Takes what has happened at a time, and appends what is to be done about it, in order.
+    /// Takes an input with its time, and appends the outputs that follow from it, in order.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the input is impossible in the engine's state. The engine has ignored it then.
     pub fn handle(
         &mut self,
         now: Nanos,
         input: Input<J, A, R>,
-        orders: &mut Vec<Output<J, R>>,
+        outputs: &mut Vec<Output<J, R>>,
     ) -> Result<(), EngineError> {
         self.now = self.now.max(now);
-        let taken = self.take(input);
-        orders.append(&mut self.orders);
-        taken
+        let result = self.apply_input(input);
+        outputs.append(&mut self.outputs);
+        result
     }
 
-    fn take(&mut self, input: Input<J, A, R>) -> Result<(), EngineError> {
+    fn apply_input(&mut self, input: Input<J, A, R>) -> Result<(), EngineError> {
         match input {
-            Input::WorkerList { kind, workers: instances } => {
-                if matches!(kind, ListKind::Complete | ListKind::Cached) {
-                    // What a whole list leaves out has gone.
-                    self.instances.none_ready();
-                }
-                let entries = match kind {
-                    ListKind::Failed | ListKind::Stale => Vec::new(),
-                    _ => instances.into_iter().map(|instance| self.instances.entry(instance)).collect(),
-                };
-                self.leave(kind, &entries);
-                self.decide(Event::WorkerList { kind, entries });
-            }
-            Input::Job { id, job } => self.job(id, job)?,
-            Input::ClientDisconnected { id } => {
-                // It may cross the answer: then nothing is owed and the module has long ended it.
-                let Some(&number) = self.numbers.get(&id) else { return Ok(()) };
-                let Some(open) = self.open.get_mut(&number).filter(|open| !open.over) else { return Ok(()) };
-                open.over = true;
-                self.decide(Event::ClientDisconnected { request: RequestId(number) });
-                // What the module has called back is told to end already.
-                if let Some(open) = self.open.get(&number) {
-                    open.withdraw(|_| true, &mut self.orders);
-                }
-                self.forget(number);
-            }
+            Input::WorkerList { kind, workers } => self.update_workers(kind, workers),
+            Input::Job { id, job } => self.open_job(id, job)?,
+            Input::ClientDisconnected { id } => self.disconnect_client(&id),
             Input::Progress { id, attempt } => {
-                if let Some(&number) = self.numbers.get(&id) {
-                    self.decide(Event::Progress { request: RequestId(number), attempt });
+                if let Some(&request) = self.requests.get(&id) {
+                    self.dispatch(Event::Progress { request, attempt });
                 }
             }
-            Input::Streaming { id, attempt } => self.streaming(&id, attempt),
-            Input::AttemptEnded { id, attempt, result: end } => self.ended(&id, attempt, end)?,
-            Input::ProbeCompleted { worker: instance, outcome, report } => {
-                self.instances.get(instance).ok_or(EngineError::UnknownWorker)?;
-                self.decide(Event::ProbeCompleted { worker: WorkerId(instance), outcome, report });
-            }
-            Input::Shutdown { deadline: by } => self.decide(Event::Shutdown { deadline: by }),
-            Input::Rules { rules, valid_until: until } => {
-                self.decide(Event::Rules { rules, valid_until: until })
-            }
-            Input::Wake => {
-                let mut due = false;
-                while self.wakes.peek().is_some_and(|at| at.0 <= self.now) {
-                    self.wakes.pop();
-                    due = true;
-                }
-                if due {
-                    self.decide(Event::Wake);
-                }
+            Input::Streaming { id, attempt } => self.begin_streaming(&id, attempt),
+            Input::AttemptEnded { id, attempt, result } => self.end_attempt(&id, attempt, result)?,
+            Input::ProbeCompleted { worker, outcome, report } => {
+                self.workers.get(worker).ok_or(EngineError::UnknownWorker)?;
+                self.dispatch(Event::ProbeCompleted { worker: WorkerId(worker), outcome, report });
             }
+            Input::Shutdown { deadline } => self.dispatch(Event::Shutdown { deadline }),
+            Input::Rules { rules, valid_until } => self.dispatch(Event::Rules { rules, valid_until }),
+            Input::Wake => self.wake(),
         }
         Ok(())
     }
 
-    /// What is on its way to instances that leave, or have left, must not begin there.
-    fn leave(&mut self, kind: ListKind, entries: &[WorkerEntry]) {
-        let entries = entries.iter().map(|entry| (entry.worker.0, entry.status == WorkerStatus::Ready));
-        let ready: HashMap<u32, bool> = entries.collect();
-        // One that a list of changes leaves out stays.
-        let unlisted = match kind {
+    fn update_workers(&mut self, kind: ListKind, workers: Vec<Endpoint<A>>) {
+        if matches!(kind, ListKind::Complete | ListKind::Cached) {
+            // A worker that a complete list omits has gone.
+            self.workers.mark_all_unlisted();
+        }
+        let entries = match kind {
+            ListKind::Failed | ListKind::Stale => Vec::new(),
+            _ => workers.into_iter().map(|endpoint| self.workers.update(endpoint)).collect(),
+        };
+        self.withdraw_from_unlisted(kind, &entries);
+        self.dispatch(Event::WorkerList { kind, entries });
+    }
+
+    /// Withdraws the unstarted attempts to workers that drain or have gone.
+    fn withdraw_from_unlisted(&mut self, kind: ListKind, entries: &[WorkerEntry]) {
+        let keeps_unlisted = match kind {
             ListKind::Failed => return,
             ListKind::Changes => true,
             ListKind::Complete | ListKind::Cached => false,
-            // Decided by what may be out of date by now, whoever it goes to: it is decided anew.
+            // Every attempt was decided by data that may be out of date now and is to be decided anew.
             ListKind::Stale => false,
         };
-        // In the order of their numbers: the same inputs give the same orders, in any process.
-        let mut jobs: Vec<_> = self.open.iter().collect();
-        jobs.sort_unstable_by_key(|(number, _)| **number);
-        for (_, open) in jobs {
-            open.withdraw(|n| !ready.get(&n).copied().unwrap_or(unlisted), &mut self.orders);
+        let is_ready: HashMap<u32, bool> =
+            entries.iter().map(|entry| (entry.worker.0, entry.status == WorkerStatus::Ready)).collect();
+        // Sorted, so that the same inputs give the same outputs in any process.
+        let mut jobs: Vec<_> = self.open_jobs.iter().collect();
+        jobs.sort_unstable_by_key(|(request, _)| request.0);
+        for (_, job) in jobs {
+            let is_withdrawn = |worker| !is_ready.get(&worker).copied().unwrap_or(keeps_unlisted);
+            job.cancel_unstarted(is_withdrawn, &mut self.outputs);
         }
     }
 
-    fn job(&mut self, id: J, job: Job) -> Result<(), EngineError> {
-        if self.numbers.contains_key(&id) {
+    fn open_job(&mut self, id: J, job: Job) -> Result<(), EngineError> {
+        if self.requests.contains_key(&id) {
             return Err(EngineError::DuplicateJob);
         }
-        let number = self.next;
-        self.next += 1;
-        self.numbers.insert(id.clone(), number);
-        let (class, deadline) = (job.class, Some(job.deadline));
-        let open = OpenJob { id, class, deadline, over: false, attempts: Vec::new() };
-        self.open.insert(number, open);
-        self.decide(Event::Request(Request {
-            id: RequestId(number),
+        let request = RequestId(self.next_request);
+        self.next_request += 1;
+        self.requests.insert(id.clone(), request);
+        let open = OpenJob {
+            id,
+            class: job.class,
+            deadline: Some(job.deadline),
+            is_finished: false,
+            attempts: Vec::new(),
+        };
+        self.open_jobs.insert(request, open);
+        self.dispatch(Event::Request(Request {
+            id: request,
             class: job.class,
             tenant: job.tenant,
             slots: job.slots,
@@ -205,162 +223,197 @@
         Ok(())
     }
 
-    fn streaming(&mut self, id: &J, attempt: u32) {
-        let Some(&number) = self.numbers.get(id) else { return };
-        let Some(open) = self.open.get_mut(&number).filter(|open| !open.over) else { return };
-        let Some(streams) = open.attempts.get_mut(attempt as usize) else { return };
-        // The first to stream has the client; one that was told to end may have begun before it heard.
-        if open.deadline.is_none() || !streams.standing.is_out() {
+    fn disconnect_client(&mut self, id: &J) {
+        // The input may cross the answer. The dispatcher has ended the request then.
+        let Some(&request) = self.requests.get(id) else { return };
+        let Some(job) = self.open_jobs.get_mut(&request).filter(|job| !job.is_finished) else { return };
+        job.is_finished = true;
+        self.dispatch(Event::ClientDisconnected { request });
+        // Attempts that the dispatcher has cancelled are not in flight any more.
+        if let Some(job) = self.open_jobs.get(&request) {
+            job.cancel_unstarted(|_| true, &mut self.outputs);
+        }
+        self.remove_if_done(request);
+    }
+
+    fn begin_streaming(&mut self, id: &J, number: u32) {
+        let Some(&request) = self.requests.get(id) else { return };
+        let Some(job) = self.open_jobs.get_mut(&request).filter(|job| !job.is_finished) else { return };
+        let Some(attempt) = job.attempts.get_mut(number as usize) else { return };
+        // The first attempt to stream answers the client, also one that was cancelled while its answer was on the way.
+        if job.deadline.is_none() || !attempt.state.awaits_end() {
             return;
         }
-        streams.standing = Standing::Streaming;
-        open.deadline = None;
-        self.decide(Event::Streaming { request: RequestId(number), attempt });
+        attempt.state = AttemptState::Streaming;
+        job.deadline = None;
+        self.dispatch(Event::Streaming { request, attempt: number });
     }
 
-    fn ended(&mut self, id: &J, attempt: u32, end: AttemptResult<R>) -> Result<(), EngineError> {
-        let number = *self.numbers.get(id).ok_or(EngineError::AttemptNotInFlight)?;
-        let open = self.open.get_mut(&number).ok_or(EngineError::AttemptNotInFlight)?;
-        let ended = open.attempts.get_mut(attempt as usize).ok_or(EngineError::AttemptNotInFlight)?;
-        let AttemptResult { outcome, result, report } = end;
-        let streamed = ended.end(outcome).ok_or(EngineError::AttemptNotInFlight)? == Standing::Streaming;
+    fn end_attempt(&mut self, id: &J, number: u32, result: AttemptResult<R>) -> Result<(), EngineError> {
+        let request = *self.requests.get(id).ok_or(EngineError::AttemptNotInFlight)?;
+        let job = self.open_jobs.get_mut(&request).ok_or(EngineError::AttemptNotInFlight)?;
+        let attempt = job.attempts.get_mut(number as usize).ok_or(EngineError::AttemptNotInFlight)?;
+        let AttemptResult { outcome, result, report } = result;
+        let state = attempt.end(outcome).ok_or(EngineError::AttemptNotInFlight)?;
         let outcome = if outcome == Outcome::Ok && result.is_none() { Outcome::Error } else { outcome };
         let answer = match result.filter(|_| outcome == Outcome::Ok) {
             Some(result) => Some(FinalAnswer::Served(result)),
-            // What has begun to stream cannot be sent again.
-            None => streamed.then_some(FinalAnswer::Failed),
+            // An answer that has begun to stream cannot be sent again.
+            None if state == AttemptState::Streaming => Some(FinalAnswer::Failed),
+            None => None,
         };
-        if let Some(answer) = answer.filter(|_| !open.over) {
-            open.over = true;
-            self.orders.push(Output::FinalAnswer { id: open.id.clone(), answer });
+        if let Some(answer) = answer.filter(|_| !job.is_finished) {
+            job.is_finished = true;
+            self.outputs.push(Output::FinalAnswer { id: job.id.clone(), answer });
         }
-        let finished = open.over;
-        self.decide(Event::AttemptEnded { request: RequestId(number), attempt, outcome, finished, report });
-        self.forget(number);
+        let finished = job.is_finished;
+        self.dispatch(Event::AttemptEnded { request, attempt: number, outcome, finished, report });
+        self.remove_if_done(request);
         Ok(())
     }
 
-    /// Gives the module one event, and all that follows from it.
-    fn decide(&mut self, event: Event) {
+    fn wake(&mut self) {
+        let mut is_due = false;
+        while self.wakes.peek().is_some_and(|at| at.0 <= self.now) {
+            self.wakes.pop();
+            is_due = true;
+        }
+        if is_due {
+            self.dispatch(Event::Wake);
+        }
+    }
+
+    /// Passes an event to the dispatcher and applies its actions, and then those of all events that follow from them.
+    fn dispatch(&mut self, event: Event) {
         self.follow_ups.push_back(event);
         while let Some(event) = self.follow_ups.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.dispatcher.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.apply_action(action);
             }
             self.actions = actions;
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
-            Action::Send { request, worker, timeout, send_by: by } => {
-                self.send(request.0, worker.0, timeout, by)
+            Action::Send { request, worker, timeout, send_by } => {
+                self.start_attempt(request, worker, timeout, send_by);
             }
-            Action::Cancel { request, attempt } => {
-                let Some(open) = self.open.get_mut(&request.0) else { return };
-                let cancelled = open.attempts.get_mut(attempt as usize);
-                if let Some(cancelled) = cancelled.filter(|attempt| attempt.standing == Standing::Out) {
-                    cancelled.standing = Standing::Cancelled;
-                    self.orders.push(Output::Cancel { id: open.id.clone(), attempt });
-                }
-            }
-            Action::Reject { request, retry_after } => self.refuse(request.0, retry_after),
-            Action::Fail { request } => self.answer(request.0, FinalAnswer::Failed),
-            Action::Probe { worker } => self.orders.push(Output::Probe { worker: worker.0 }),
-            Action::Subscribe => self.orders.push(Output::Subscribe),
+            Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
+            Action::Reject { request, retry_after } => self.reject(request, retry_after),
+            Action::Fail { request } => self.answer(request, FinalAnswer::Failed),
+            Action::Probe { worker } => self.outputs.push(Output::Probe { worker: worker.0 }),
+            Action::Subscribe => self.outputs.push(Output::Subscribe),
             Action::Wake { at } => self.wakes.push(Reverse(at)),
         }
     }
 
-    fn send(&mut self, number: u64, instance: u32, timeout: Nanos, send_by: Nanos) {
-        let Some(known) = self.instances.get(instance) else { return };
-        let (worker, ready) = (known.entry.clone(), known.ready);
-        let Some(open) = self.open.get(&number) else { return };
-        let attempt = open.attempts.len() as u32;
-        let limit = if timeout == 0 { Nanos::MAX } else { self.now.saturating_add(timeout) };
-        let until = open.deadline.map_or(limit, |deadline| deadline.min(limit));
-        // Over, or out of time: it is not sent at all, and no fault of anybody.
-        let over = open.over || until <= self.now;
-        let denial = if over { None } else { self.denies_attempt(open, &worker, ready) };
-        self.violations_found(number, Act::Attempt, denial);
-        let Some(open) = self.open.get_mut(&number) else { return };
-        if over || denial.is_some() {
-            open.attempts.push(Attempt::not_made(worker, self.now));
-            let (request, outcome, finished) = (RequestId(number), Outcome::NotSent, open.over);
+    fn start_attempt(&mut self, request: RequestId, worker: WorkerId, timeout: Nanos, send_by: Nanos) {
+        let Some(known) = self.workers.get(worker.0) else { return };
+        let (entry, worker_is_ready) = (known.entry.clone(), known.is_ready);
+        let Some(job) = self.open_jobs.get(&request) else { return };
+        let number = job.attempts.len() as u32;
+        // With a timeout of 0 only the client's deadline bounds the attempt.
+        let timeout_at = if timeout == 0 { Nanos::MAX } else { self.now.saturating_add(timeout) };
+        let deadline = job.deadline.map_or(timeout_at, |deadline| deadline.min(timeout_at));
+        // An attempt for a job that is finished or out of time is not sent, which is no violation.
+        let is_pointless = job.is_finished || deadline <= self.now;
+        let denial = if is_pointless { None } else { self.attempt_denial(job, &entry, worker_is_ready) };
+        self.record_violation(request, Operation::Attempt, denial);
+        let Some(job) = self.open_jobs.get_mut(&request) else { return };
+        if is_pointless || denial.is_some() {
+            job.attempts.push(Attempt::never_sent(entry, self.now));
             self.follow_ups.push_back(Event::AttemptEnded {
                 request,
-                attempt,
-                outcome,
-                finished,
+                attempt: number,
+                outcome: Outcome::NotSent,
+                finished: job.is_finished,
                 report: None,
             });
             return;
         }
-        open.attempts.push(Attempt::ordered(worker, self.now));
-        self.orders.push(Output::StartAttempt(StartAttempt {
-            id: open.id.clone(),
-            attempt,
-            worker: instance,
-            deadline: until,
+        job.attempts.push(Attempt::in_flight(entry, self.now));
+        self.outputs.push(Output::StartAttempt(StartAttempt {
+            id: job.id.clone(),
+            attempt: number,
+            worker: worker.0,
+            deadline,
             send_by,
         }));
     }
 
-    /// Why an attempt must not be made, if it must not.
-    fn denies_attempt(&self, open: &OpenJob<J>, worker: &WorkerEntry, ready: bool) -> Option<Denial> {
+    /// Returns the reason why an attempt must not be made, if there is one.
+    fn attempt_denial(
+        &self,
+        job: &OpenJob<J>,
+        worker: &WorkerEntry,
+        worker_is_ready: bool,
+    ) -> Option<Denial> {
+        let settings = &self.permit_settings;
         let facts = AttemptFacts {
             now: self.now,
-            class: self.class(open.class)?,
-            connect: self.terms.connect,
-            most_attempts: self.terms.most_attempts,
-            parallel: self.terms.parallel,
-            earlier: &open.earlier(),
+            class: settings.class(job.class)?,
+            connect_timeout: settings.connect_timeout,
+            max_attempts: settings.max_attempts,
+            allows_hedging: settings.allows_hedging,
+            earlier: &job.earlier_attempts(),
             worker,
-            ready,
+            worker_is_ready,
         };
         permits::attempt(&facts).err()
     }
 
-    /// A class of the settings; one that is out of range counts as the last.
-    fn class(&self, class: u32) -> Option<&Class> {
-        self.terms.classes.get(class as usize).or(self.terms.classes.last())
+    fn record_violation(&mut self, request: RequestId, operation: Operation, denial: Option<Denial>) {
+        let Some(denial) = denial else { return };
+        let Some(job) = self.open_jobs.get(&request) else { return };
+        if self.violations.len() < MAX_VIOLATIONS {
+            let violation = Violation { operation, denial };
+            self.violations.push(JobViolation { id: job.id.clone(), violation });
+        }
     }
 
-    fn violations_found(&mut self, number: u64, act: Act, denial: Option<Denial>) {
-        let Some((denial, open)) = denial.zip(self.open.get(&number)) else { return };
-        if self.violations.len() < MOST_VIOLATIONS {
-            self.violations.push((open.id.clone(), Violation { act, denial }));
+    fn cancel_attempt(&mut self, request: RequestId, number: u32) {
+        let Some(job) = self.open_jobs.get_mut(&request) else { return };
+        let Some(attempt) = job.attempts.get_mut(number as usize) else { return };
+        if attempt.state == AttemptState::InFlight {
+            attempt.state = AttemptState::Cancelled;
+            self.outputs.push(Output::Cancel { id: job.id.clone(), attempt: number });
         }
     }
 
-    /// Answers that to try again is harmless; where that is not so, that nothing is promised.
-    fn refuse(&mut self, number: u64, retry_after: Nanos) {
-        let Some(open) = self.open.get(&number).filter(|open| !open.over) else { return };
-        let effect = self.class(open.class).map(|class| class.idempotency);
-        let denial = effect.and_then(|effect| permits::refusal(effect, &open.earlier()).err());
-        self.violations_found(number, Act::Refuse, denial);
-        self.answer(
-            number,
-            if denial.is_some() { FinalAnswer::Failed } else { FinalAnswer::Rejected { retry_after } },
-        );
+    /// Rejects a job, which promises that a retry is harmless; fails it where a retry would not be.
+    fn reject(&mut self, request: RequestId, retry_after: Nanos) {
+        let Some(job) = self.open_jobs.get(&request).filter(|job| !job.is_finished) else { return };
+        let class = self.permit_settings.class(job.class);
+        let denial =
+            class.and_then(|class| permits::reject(class.idempotency, &job.earlier_attempts()).err());
+        self.record_violation(request, Operation::Reject, denial);
+        let answer = match denial {
+            Some(_) => FinalAnswer::Failed,
+            None => FinalAnswer::Rejected { retry_after },
+        };
+        self.answer(request, answer);
     }
 
-    fn answer(&mut self, number: u64, answer: FinalAnswer<R>) {
-        let Some(open) = self.open.get_mut(&number) else { return };
-        if !std::mem::replace(&mut open.over, true) {
-            self.orders.push(Output::FinalAnswer { id: open.id.clone(), answer });
+    fn answer(&mut self, request: RequestId, answer: FinalAnswer<R>) {
+        let Some(job) = self.open_jobs.get_mut(&request) else { return };
+        let was_finished = std::mem::replace(&mut job.is_finished, true);
+        if !was_finished {
+            self.outputs.push(Output::FinalAnswer { id: job.id.clone(), answer });
         }
-        self.forget(number);
+        self.remove_if_done(request);
     }
 
-    /// Drops what no input can name any more.
-    fn forget(&mut self, number: u64) {
-        if self.open.get(&number).is_some_and(|open| open.over && open.out() == 0) {
-            if let Some(open) = self.open.remove(&number) {
-                self.numbers.remove(&open.id);
-            }
+    /// Removes a job that no input can name any more.
+    fn remove_if_done(&mut self, request: RequestId) {
+        let Some(job) = self.open_jobs.get(&request) else { return };
+        if !job.is_finished || job.attempts_awaiting_end() > 0 {
+            return;
+        }
+        if let Some(job) = self.open_jobs.remove(&request) {
+            self.requests.remove(&job.id);
         }
     }
 }
--- a/crates/engine/src/open_job.rs
+++ b/crates/engine/src/open_job.rs
@@ -1,89 +1,95 @@
-//! What the engine knows of a job that is not forgotten yet, and of its attempts.
+//! The jobs that are not forgotten yet, and their attempts.
 
 use nickelflow_dispatcher::{Nanos, Outcome, WorkerEntry};
 
-use crate::interface::Output;
+use crate::output::Output;
 use crate::permits::EarlierAttempt;
 
-/// How an attempt stands.
+/// The state of an attempt.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum Standing {
-    Out,
-    /// Told to end; its end is still wanted.
+pub(crate) enum AttemptState {
+    /// The attempt has been ordered.
+    InFlight,
+    /// The attempt has been cancelled, and its end has not been reported yet.
     Cancelled,
-    /// Its answer streams to the client, and it cannot be called back.
+    /// The attempt's answer is being streamed to the client, so that it cannot be cancelled.
     Streaming,
+    /// The attempt's end has been reported, or the attempt was never made.
     Ended,
 }
 
-impl Standing {
-    /// Whether its end is still wanted.
-    pub(crate) fn is_out(self) -> bool {
-        self != Standing::Ended
+impl AttemptState {
+    /// Returns whether the attempt's end is still to be reported.
+    pub(crate) fn awaits_end(self) -> bool {
+        self != AttemptState::Ended
     }
 }
 
 /// One attempt of a job.
 pub(crate) struct Attempt {
-    pub(crate) standing: Standing,
-    /// Its worker, as it was listed when the attempt was ordered.
+    pub(crate) state: AttemptState,
+    /// The attempt's worker, as it was listed when the attempt was decided.
     pub(crate) worker: WorkerEntry,
-    pub(crate) decided: Nanos,
-    /// Nothing has proved that it never ran.
+    /// When the attempt was decided (ns on the engine's clock).
+    pub(crate) decided_at: Nanos,
+    /// Nothing has proved that the attempt never ran.
     pub(crate) may_have_run: bool,
 }
 
 impl Attempt {
-    pub(crate) fn ordered(worker: WorkerEntry, decided: Nanos) -> Self {
-        Attempt { standing: Standing::Out, worker, decided, may_have_run: true }
+    /// Creates an attempt that has been ordered.
+    pub(crate) fn in_flight(worker: WorkerEntry, decided_at: Nanos) -> Self {
+        Attempt { state: AttemptState::InFlight, worker, decided_at, may_have_run: true }
     }
 
-    /// One that is not made at all.
-    pub(crate) fn not_made(worker: WorkerEntry, decided: Nanos) -> Self {
-        Attempt { standing: Standing::Ended, worker, decided, may_have_run: false }
+    /// Creates an attempt that the dispatcher decided on and that is not made.
+    pub(crate) fn never_sent(worker: WorkerEntry, decided_at: Nanos) -> Self {
+        Attempt { state: AttemptState::Ended, worker, decided_at, may_have_run: false }
     }
 
-    /// Takes its end; `None` if it has ended before, else how it stood.
-    pub(crate) fn end(&mut self, outcome: Outcome) -> Option<Standing> {
-        let before = std::mem::replace(&mut self.standing, Standing::Ended);
+    /// Ends the attempt. Returns its state before that, or `None` if it had ended already.
+    pub(crate) fn end(&mut self, outcome: Outcome) -> Option<AttemptState> {
+        let before = std::mem::replace(&mut self.state, AttemptState::Ended);
         self.may_have_run &= !outcome.never_ran();
-        before.is_out().then_some(before)
+        before.awaits_end().then_some(before)
     }
 }
 
-/// A job that is open, or of which attempts are out.
+/// A job that is not answered yet or has attempts whose end is still to be reported.
 pub(crate) struct OpenJob<J> {
     pub(crate) id: J,
     pub(crate) class: u32,
-    /// `None` once its answer streams.
+    /// When the job's client gives up (ns on the engine's clock); `None` once its answer is being streamed.
     pub(crate) deadline: Option<Nanos>,
-    /// Answered, or its client has gone.
-    pub(crate) over: bool,
+    /// The job has been answered, or its client has disconnected.
+    pub(crate) is_finished: bool,
+    /// The job's attempts; the number of an attempt is its index.
     pub(crate) attempts: Vec<Attempt>,
 }
 
 impl<J: Clone> OpenJob<J> {
-    /// Attempts of which the end is still wanted.
-    pub(crate) fn out(&self) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.standing.is_out()).count()
+    /// Returns the number of attempts whose end is still to be reported.
+    pub(crate) fn attempts_awaiting_end(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.state.awaits_end()).count()
     }
 
-    /// Its attempts, as permits want to know them.
-    pub(crate) fn earlier(&self) -> Vec<EarlierAttempt> {
-        let known = |attempt: &Attempt| EarlierAttempt {
+    /// Returns the job's attempts in the form in which permits take them.
+    pub(crate) fn earlier_attempts(&self) -> Vec<EarlierAttempt> {
+        let convert = |attempt: &Attempt| EarlierAttempt {
             worker: attempt.worker.clone(),
-            decided: attempt.decided,
-            out: attempt.standing.is_out(),
+            decided_at: attempt.decided_at,
+            in_flight: attempt.state.awaits_end(),
             may_have_run: attempt.may_have_run,
         };
-        self.attempts.iter().map(known).collect()
+        self.attempts.iter().map(convert).collect()
     }
 
-    /// Withdraws those of its attempts that are out to certain workers.
-    pub(crate) fn withdraw<R>(&self, from: impl Fn(u32) -> bool, orders: &mut Vec<Output<J, R>>) {
-        let attempts = self.attempts.iter().enumerate();
-        let out = attempts
-            .filter(|(_, attempt)| attempt.standing == Standing::Out && from(attempt.worker.worker.0));
-        orders.extend(out.map(|(n, _)| Output::CancelUnstarted { id: self.id.clone(), attempt: n as u32 }));
+    /// Withdraws the attempts in flight to those workers for which `affects` holds, unless they have started.
+    pub(crate) fn cancel_unstarted<R>(&self, affects: impl Fn(u32) -> bool, outputs: &mut Vec<Output<J, R>>) {
+        for (number, attempt) in self.attempts.iter().enumerate() {
+            if attempt.state == AttemptState::InFlight && affects(attempt.worker.worker.0) {
+                outputs.push(Output::CancelUnstarted { id: self.id.clone(), attempt: number as u32 });
+            }
+        }
     }
 }
--- a/crates/engine/tests/permits.rs
+++ b/crates/engine/tests/permits.rs
@@ -1,16 +1,17 @@
-//! The rules in the one place that decides: each fact by itself, and those that cross.
+//! The permits: the effect of each fact by itself and of several facts together.
 
 use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, WorkerEntry, WorkerId, WorkerStatus};
 use nickelflow_engine::permits::{
-    attempt, close, refusal, take, write, AttemptFacts, CloseFacts, Denial, EarlierAttempt, Stop, WriteFacts,
+    admit, attempt, close, reject, write, AttemptFacts, CloseFacts, Denial, EarlierAttempt, StopLevel,
+    WriteFacts,
 };
 use rstest::rstest;
 
 const KEYED: Idempotency = Idempotency::IdempotentWithKey(DeduplicationScope::Cell);
 
-fn class(effect: Idempotency) -> Class {
+fn class(idempotency: Idempotency) -> Class {
     Class {
-        idempotency: effect,
+        idempotency,
         deduplication_window: 1_000,
         latency_objective: 100,
         latency_stretch: 1.0,
@@ -34,28 +35,29 @@
     }
 }
 
-/// One at the worker of cell 1, decided on at 0.
-fn earlier(out: bool, may_have_run: bool) -> EarlierAttempt {
-    EarlierAttempt { worker: worker(1), decided: 0, out, may_have_run }
+/// Returns an attempt at the worker of cell 1 that was decided at 0.
+fn earlier(in_flight: bool, may_have_run: bool) -> EarlierAttempt {
+    EarlierAttempt { worker: worker(1), decided_at: 0, in_flight, may_have_run }
 }
 
-fn denied(
-    effect: Idempotency,
+/// Returns why an attempt at the worker of `cell` is denied, with facts that `change` has changed.
+fn attempt_denial(
+    idempotency: Idempotency,
     now: u64,
     cell: u32,
     earlier: &[EarlierAttempt],
     change: impl Fn(&mut AttemptFacts),
 ) -> Option<Denial> {
-    let (class, worker) = (class(effect), worker(cell));
+    let (class, worker) = (class(idempotency), worker(cell));
     let mut facts = AttemptFacts {
         now,
         class: &class,
-        connect: 100,
-        most_attempts: 3,
-        parallel: true,
+        connect_timeout: 100,
+        max_attempts: 3,
+        allows_hedging: true,
         earlier,
         worker: &worker,
-        ready: true,
+        worker_is_ready: true,
     };
     change(&mut facts);
     attempt(&facts).err()
@@ -63,40 +65,43 @@
 
 #[rstest]
 #[case::first(Idempotency::NonIdempotent, 0, 2, &[], None)]
-#[case::unsafe_that_never_ran(Idempotency::NonIdempotent, 0, 2, &[earlier(false, false)], None)]
-#[case::unsafe_that_may_have_run(Idempotency::NonIdempotent, 0, 1, &[earlier(false, true)], Some(Denial::MayHaveRun))]
-#[case::unsafe_beside_one_that_is_out(Idempotency::NonIdempotent, 0, 1, &[earlier(true, true)], Some(Denial::AttemptOut))]
-#[case::keyed_in_its_group(KEYED, 899, 1, &[earlier(false, true)], None)]
-#[case::keyed_beside_one_that_is_out(KEYED, 0, 1, &[earlier(true, true)], None)]
-#[case::keyed_when_its_window_is_over(KEYED, 900, 1, &[earlier(false, true)], Some(Denial::WindowOver))]
-#[case::keyed_elsewhere(KEYED, 0, 2, &[earlier(false, true)], Some(Denial::OutsideGroup))]
-#[case::keyed_that_never_ran_elsewhere(KEYED, 9_000, 2, &[earlier(false, false)], None)]
-#[case::safe_anywhere_at_any_time(Idempotency::Idempotent, 9_000, 2, &[earlier(false, true)], None)]
-#[case::spent(Idempotency::Idempotent, 0, 2, &[earlier(false, false), earlier(false, false), earlier(false, false)], Some(Denial::AttemptsSpent))]
-fn attempts_follow_what_went_before(
-    #[case] effect: Idempotency,
+#[case::non_idempotent_that_never_ran(Idempotency::NonIdempotent, 0, 2, &[earlier(false, false)], None)]
+#[case::non_idempotent_that_may_have_run(Idempotency::NonIdempotent, 0, 1, &[earlier(false, true)], Some(Denial::MayHaveRun))]
+#[case::non_idempotent_beside_one_in_flight(Idempotency::NonIdempotent, 0, 1, &[earlier(true, true)], Some(Denial::AttemptInFlight))]
+#[case::keyed_in_its_scope(KEYED, 899, 1, &[earlier(false, true)], None)]
+#[case::keyed_beside_one_in_flight(KEYED, 0, 1, &[earlier(true, true)], None)]
+#[case::keyed_after_its_window(KEYED, 900, 1, &[earlier(false, true)], Some(Denial::DeduplicationWindowExpired))]
+#[case::keyed_outside_its_scope(KEYED, 0, 2, &[earlier(false, true)], Some(Denial::OutsideDeduplicationScope))]
+#[case::keyed_that_never_ran_outside_its_scope(KEYED, 9_000, 2, &[earlier(false, false)], None)]
+#[case::idempotent_anywhere_at_any_time(Idempotency::Idempotent, 9_000, 2, &[earlier(false, true)], None)]
+#[case::attempts_exhausted(Idempotency::Idempotent, 0, 2, &[earlier(false, false), earlier(false, false), earlier(false, false)], Some(Denial::AttemptsExhausted))]
+fn an_attempt_is_decided_by_the_earlier_attempts(
+    #[case] idempotency: Idempotency,
     #[case] now: u64,
     #[case] cell: u32,
-    #[case] before: &[EarlierAttempt],
-    #[case] wanted: Option<Denial>,
+    #[case] earlier: &[EarlierAttempt],
+    #[case] expected: Option<Denial>,
 ) {
-    assert_eq!(denied(effect, now, cell, before, |_| ()), wanted);
+    assert_eq!(attempt_denial(idempotency, now, cell, earlier, |_| ()), expected);
 }
 
 #[test]
-fn no_attempt_goes_to_a_worker_that_leaves_or_beside_another_where_two_are_not_allowed() {
+fn no_attempt_goes_to_an_unavailable_worker_or_beside_another_without_hedging() {
     assert_eq!(
-        denied(Idempotency::Idempotent, 0, 1, &[], |facts| facts.ready = false),
-        Some(Denial::WorkerLeaves)
+        attempt_denial(Idempotency::Idempotent, 0, 1, &[], |facts| facts.worker_is_ready = false),
+        Some(Denial::WorkerUnavailable)
+    );
+    let in_flight = [earlier(true, true)];
+    assert_eq!(
+        attempt_denial(KEYED, 0, 1, &in_flight, |facts| facts.allows_hedging = false),
+        Some(Denial::AttemptInFlight)
     );
-    let out = [earlier(true, true)];
-    assert_eq!(denied(KEYED, 0, 1, &out, |facts| facts.parallel = false), Some(Denial::AttemptOut));
 }
 
 #[test]
-fn two_earlier_attempts_must_both_drop_the_repeat() {
+fn a_retry_must_be_deduplicated_with_every_earlier_attempt() {
     let two = [earlier(false, true), EarlierAttempt { worker: worker(2), ..earlier(false, true) }];
-    assert_eq!(denied(KEYED, 0, 1, &two, |_| ()), Some(Denial::OutsideGroup));
+    assert_eq!(attempt_denial(KEYED, 0, 1, &two, |_| ()), Some(Denial::OutsideDeduplicationScope));
 }
 
 #[rstest]
@@ -106,74 +111,87 @@
 #[case(KEYED, false, None)]
 #[case(Idempotency::NonIdempotent, true, Some(Denial::MayHaveRun))]
 #[case(Idempotency::NonIdempotent, false, None)]
-fn a_refusal_promises_that_nothing_ran(
-    #[case] effect: Idempotency,
+fn a_rejection_promises_that_a_retry_is_harmless(
+    #[case] idempotency: Idempotency,
     #[case] ran: bool,
-    #[case] wanted: Option<Denial>,
+    #[case] expected: Option<Denial>,
 ) {
-    assert_eq!(refusal(effect, &[earlier(false, ran)]).err(), wanted);
+    assert_eq!(reject(idempotency, &[earlier(false, ran)]).err(), expected);
 }
 
 fn writing() -> WriteFacts<u64> {
     WriteFacts {
         now: 10,
-        begun: false,
-        stop: Stop::No,
-        client_left: false,
+        started: false,
+        stop: StopLevel::Continue,
+        client_disconnected: false,
         deadline: 100,
-        window: Some(100),
-        lapses: Some(100),
-        head_good_until: 10,
+        resend_deadline: Some(100),
+        rules_valid_until: Some(100),
+        headers_valid_until: 10,
     }
 }
 
 #[rstest]
-#[case::cancelled(|f: &mut WriteFacts<u64>| f.stop = Stop::Now, Denial::Cancelled, true)]
-#[case::withdrawn(|f: &mut WriteFacts<u64>| f.stop = Stop::Unbegun, Denial::Withdrawn, false)]
-#[case::client_left(|f: &mut WriteFacts<u64>| f.client_left = true, Denial::ClientLeft, false)]
-#[case::deadline(|f: &mut WriteFacts<u64>| f.deadline = 10, Denial::DeadlineOver, false)]
-#[case::window(|f: &mut WriteFacts<u64>| f.window = Some(10), Denial::WindowOver, true)]
-#[case::rules(|f: &mut WriteFacts<u64>| f.lapses = Some(10), Denial::RulesLapsed, true)]
-#[case::head(|f: &mut WriteFacts<u64>| f.head_good_until = 9, Denial::HeadOutdated, false)]
+#[case::cancelled(|f: &mut WriteFacts<u64>| f.stop = StopLevel::Immediate, Denial::Cancelled, true)]
+#[case::cancelled_unstarted(|f: &mut WriteFacts<u64>| f.stop = StopLevel::IfUnstarted, Denial::CancelledUnstarted, false)]
+#[case::client_disconnected(|f: &mut WriteFacts<u64>| f.client_disconnected = true, Denial::ClientDisconnected, false)]
+#[case::deadline_exceeded(|f: &mut WriteFacts<u64>| f.deadline = 10, Denial::DeadlineExceeded, false)]
+#[case::deduplication_window_expired(|f: &mut WriteFacts<u64>| f.resend_deadline = Some(10), Denial::DeduplicationWindowExpired, true)]
+#[case::rules_expired(|f: &mut WriteFacts<u64>| f.rules_valid_until = Some(10), Denial::RulesExpired, true)]
+#[case::headers_outdated(|f: &mut WriteFacts<u64>| f.headers_valid_until = 9, Denial::HeadersOutdated, false)]
 fn a_write_is_denied_by_each_fact(
     #[case] change: fn(&mut WriteFacts<u64>),
     #[case] denial: Denial,
-    #[case] also_once_begun: bool,
+    #[case] also_once_started: bool,
 ) {
     assert!(write(&writing()).is_ok());
     let mut facts = writing();
     change(&mut facts);
     assert_eq!(write(&facts).err(), Some(denial));
-    facts.begun = true;
-    assert_eq!(write(&facts).err(), also_once_begun.then_some(denial));
+    facts.started = true;
+    assert_eq!(write(&facts).err(), also_once_started.then_some(denial));
 }
 
 #[test]
-fn of_facts_that_cross_the_one_that_also_stops_what_has_begun_is_told() {
-    let facts =
-        WriteFacts { client_left: true, deadline: 5, window: Some(5), stop: Stop::Unbegun, ..writing() };
-    assert_eq!(write(&facts).err(), Some(Denial::WindowOver));
+fn of_several_denials_one_that_also_stops_a_started_attempt_is_returned() {
+    let facts = WriteFacts {
+        client_disconnected: true,
+        deadline: 5,
+        resend_deadline: Some(5),
+        stop: StopLevel::IfUnstarted,
+        ..writing()
+    };
+    assert_eq!(write(&facts).err(), Some(Denial::DeduplicationWindowExpired));
 }
 
 #[rstest]
-#[case(CloseFacts { unanswered: true, ..idle() }, Some(Denial::AnswerOwed))]
-#[case(CloseFacts { half_read: true, ..idle() }, Some(Denial::AnswerOwed))]
-#[case(CloseFacts { unwritten: true, ..idle() }, Some(Denial::AnswerUnwritten))]
-#[case(CloseFacts { unanswered: true, client_left: true, ..idle() }, None)]
+#[case(CloseFacts { has_unanswered_request: true, ..idle() }, Some(Denial::ResponsePending))]
+#[case(CloseFacts { has_partial_request: true, ..idle() }, Some(Denial::ResponsePending))]
+#[case(CloseFacts { has_unwritten_response: true, ..idle() }, Some(Denial::ResponseUnwritten))]
+#[case(CloseFacts { has_unanswered_request: true, client_disconnected: true, ..idle() }, None)]
 #[case(idle(), None)]
-fn a_connection_that_owes_something_is_not_closed(#[case] facts: CloseFacts, #[case] wanted: Option<Denial>) {
-    assert_eq!(close(facts).err(), wanted);
+fn a_connection_is_not_closed_before_its_response_is_written(
+    #[case] facts: CloseFacts,
+    #[case] expected: Option<Denial>,
+) {
+    assert_eq!(close(facts).err(), expected);
 }
 
 fn idle() -> CloseFacts {
-    CloseFacts { unanswered: false, half_read: false, unwritten: false, client_left: false }
+    CloseFacts {
+        has_unanswered_request: false,
+        has_partial_request: false,
+        has_unwritten_response: false,
+        client_disconnected: false,
+    }
 }
 
 #[test]
-fn nothing_is_taken_once_all_has_been_answered() {
-    assert!(take(5, None).is_ok());
-    assert!(take(5, Some(6)).is_ok());
-    assert_eq!(take(6, Some(6)).err(), Some(Denial::Ended));
+fn nothing_is_admitted_once_a_shutdown_has_answered_everything() {
+    assert!(admit(5, None).is_ok());
+    assert!(admit(5, Some(6)).is_ok());
+    assert_eq!(admit(6, Some(6)).err(), Some(Denial::ShutDown));
 }
 
 #[test]
