--- a/crates/daemon/src/places.rs
+++ b/crates/daemon/src/acceptor.rs
@@ -22,14 +22,14 @@
 use tokio::time::{sleep_until, timeout};
 use tracing::{debug, warn};
 
+use crate::client_connection::{Visit, IDLE_RANK, LAST_HEAD};
 use crate::counters::Shared;
-use crate::inlet::{Inlet, Refusal, LARGEST_BODY, LARGEST_HEAD};
+use crate::job_handler::Front;
 use crate::listen::{is_shortage, BACKLOG};
-use crate::service_client::Front;
+use crate::request_reader::{Inlet, Refusal, LARGEST_BODY, LARGEST_HEAD};
 use crate::shutdown::Shutdown;
 use crate::throttle::Throttle;
 use crate::violations;
-use crate::visit::{Visit, IDLE_RANK, LAST_HEAD};
 use crate::Descriptors;
 
 /// Accepting goes on this long after it failed: descriptors come free meanwhile.
--- a/crates/daemon/src/execution.rs
+++ b/crates/daemon/src/attempt.rs
@@ -17,9 +17,9 @@
 
 use crate::config::Links;
 use crate::connection::Written;
-use crate::core::{End, Execute, Input, Repeats, StopLevel, Under};
 use crate::counters::Shared;
-use crate::lines::Lines;
+use crate::line_reader::Lines;
+use crate::scheduler_loop::{End, Execute, Input, Repeats, StopLevel, Under};
 use crate::violations;
 use crate::worker_answer::{head_outcome, head_report, report_of, State};
 use crate::worker_pool::{settled, Lease, Wanted, WorkerPool};
--- a/crates/daemon/src/visit.rs
+++ b/crates/daemon/src/client_connection.rs
@@ -8,7 +8,7 @@
 use hyper::header::HeaderValue;
 use tokio::sync::Notify;
 
-use crate::inlet::{Intake, Refusal};
+use crate::request_reader::{Intake, Refusal};
 
 /// For how long a client may take over a request, from its first byte or, for the first, from connecting:
 /// one that does not get on is owed an error or a close within 3 s of connecting.
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -5,8 +5,8 @@
 
 use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, ServiceLimits, Settings, Tenant};
 
+use crate::endpoint_list::{EntryNames, List};
 use crate::json::{self, Field};
-use crate::list::{EntryNames, List};
 
 pub struct Config {
     pub origin: Origin,
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -22,8 +22,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep_until;
 
+use crate::interrupted::uninterrupted;
 use crate::listen::is_shortage;
-use crate::retry::uninterrupted;
 use crate::write_guard::WriteGuard;
 
 /// A connection to a worker or to discovery.
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -16,12 +16,12 @@
 use tokio::time::timeout;
 use tracing::{info, warn};
 
+use crate::attempt::host;
 use crate::connection::{ConnectError, Connection};
-use crate::core::{Entry, Input};
-use crate::execution::host;
+use crate::endpoint_list::{EntryNames, List};
 use crate::json::{self, Field};
-use crate::lines::Lines;
-use crate::list::{EntryNames, List};
+use crate::line_reader::Lines;
+use crate::scheduler_loop::{Entry, Input};
 
 /// Discovery writes at least an empty line this often.
 const HEARTBEAT: Duration = Duration::from_secs(2);
--- a/crates/daemon/src/list.rs
+++ b/crates/daemon/src/endpoint_list.rs
@@ -4,8 +4,8 @@
 
 use nickelflow_engine::WorkerStatus;
 
-use crate::core::Entry;
 use crate::json::Field;
+use crate::scheduler_loop::Entry;
 
 /// The names of zones and types that stand in entries for the module's numbers.
 #[derive(Clone)]
--- a/crates/daemon/src/service_client.rs
+++ b/crates/daemon/src/job_handler.rs
@@ -19,13 +19,13 @@
 use tower::Service;
 use tracing::debug;
 
+use crate::attempt::Parcel;
+use crate::client_connection::Visit;
 use crate::config::Names;
-use crate::core::{Answer, Entrance, Job};
 use crate::counters::Shared;
-use crate::execution::Parcel;
-use crate::inlet::LARGEST_BODY;
+use crate::request_reader::LARGEST_BODY;
+use crate::scheduler_loop::{Answer, Entrance, Job};
 use crate::shutdown::Shutdown;
-use crate::visit::Visit;
 use crate::write_guard::Presence;
 
 /// The longest wait that a client may ask for.
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -2,26 +2,26 @@
 // Left over: not yet documented and split (see DEVELOPERS.md, "Lints").
 #![allow(missing_docs, clippy::missing_errors_doc, clippy::too_many_lines, clippy::type_complexity)]
 
-pub mod agreed;
+mod acceptor;
+pub mod attempt;
+mod client_connection;
 pub mod config;
 mod connection;
-pub mod core;
 pub mod counters;
 pub mod discovery;
-pub mod execution;
-mod inlet;
+pub mod endpoint_list;
+mod interrupted;
+pub mod job_handler;
 mod json;
-mod lines;
-pub mod list;
+mod line_reader;
 pub mod listen;
-mod places;
-mod retry;
-pub mod service_client;
+mod request_reader;
+pub mod rules_conversion;
+pub mod scheduler_loop;
 pub mod shutdown;
 pub mod start_times;
 pub mod throttle;
 mod violations;
-mod visit;
 mod worker_answer;
 mod worker_pool;
 pub mod write_guard;
@@ -34,14 +34,14 @@
 use tokio::sync::{mpsc, watch};
 use tracing::info;
 
+use crate::attempt::Instances;
+use crate::client_connection::Visit;
 use crate::config::Config;
-use crate::core::{Core, Entrance, Input, Order};
 use crate::counters::Shared;
 use crate::discovery::{DiscoveryClient, WatchTiming};
-use crate::execution::Instances;
-use crate::service_client::{Front, OpenIds};
+use crate::job_handler::{Front, OpenIds};
+use crate::scheduler_loop::{Core, Entrance, Input, Order};
 use crate::shutdown::Shutdown;
-use crate::visit::Visit;
 
 /// How the descriptors that the settings allow are shared out; no part takes from another.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -101,7 +101,7 @@
         DiscoveryClient { discovery, names: config.entry_names, timing, rng, queue: queue.clone(), asked };
     tokio::spawn(client.run(config.known));
     if let Some(told) = told {
-        tokio::spawn(agreed::tell(told, config.names.tenants.clone(), queue.clone()));
+        tokio::spawn(rules_conversion::tell(told, config.names.tenants.clone(), queue.clone()));
     }
     let ending = (shutdown.clone(), queue.clone());
     tokio::spawn(async move {
@@ -122,7 +122,7 @@
         visit: Visit::begin(),
     };
     tokio::select! {
-        () = places::serve(listener, front, descriptors) => Ok(()),
+        () = acceptor::serve(listener, front, descriptors) => Ok(()),
         // It runs as long as the queue has senders: if it ends, the module has panicked.
         ended = core => Err(format!("the core ended: {ended:?}")),
     }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -27,7 +27,7 @@
         local_lease: settings.honoured()?,
         build: env!("CARGO_PKG_VERSION").to_owned(),
     };
-    nickelflow_daemon::agreed::begin(council, settings.listen).await
+    nickelflow_daemon::rules_conversion::begin(council, settings.listen).await
 }
 
 async fn serve(settings: Option<Settings>) -> Result<(), String> {
--- a/crates/daemon/src/inlet.rs
+++ b/crates/daemon/src/request_reader.rs
@@ -17,8 +17,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-use crate::retry::uninterrupted;
-use crate::visit::Visit;
+use crate::client_connection::Visit;
+use crate::interrupted::uninterrupted;
 
 pub const LARGEST_BODY: u64 = 64 << 10;
 /// Heads are kept in memory for each connection, and memory may be 32 MB for hundreds of them.
--- a/crates/daemon/src/agreed.rs
+++ b/crates/daemon/src/rules_conversion.rs
@@ -11,8 +11,8 @@
 use tokio::sync::{mpsc, watch};
 use tracing::warn;
 
-use crate::core::{Agreed, Input};
 use crate::listen::listen;
+use crate::scheduler_loop::{Agreed, Input};
 
 const MS: u64 = 1_000_000;
 
--- a/crates/daemon/src/worker_answer.rs
+++ b/crates/daemon/src/worker_answer.rs
@@ -9,8 +9,8 @@
 use tinyjson::JsonValue;
 use tracing::warn;
 
-use crate::core::End;
 use crate::json;
+use crate::scheduler_loop::End;
 
 /// The outcome, where the head of the answer tells it; a stream of lines tells it later.
 pub fn head_outcome(answer: &Response<Incoming>) -> Option<Outcome> {
--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
+use nickelflow_daemon::attempt::{Instances, Parcel};
 use nickelflow_daemon::config::Links;
-use nickelflow_daemon::core::{Execute, Input, Repeats, StopLevel};
 use nickelflow_daemon::counters::Shared;
-use nickelflow_daemon::execution::{Instances, Parcel};
+use nickelflow_daemon::scheduler_loop::{Execute, Input, Repeats, StopLevel};
 use nickelflow_daemon::write_guard::Presence;
 use nickelflow_engine::Outcome;
 use rstest::rstest;
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -135,7 +135,7 @@
         let mut child = command
             .env("RELAY_CONFIG", file)
             // What has been decided is an event to wait for.
-            .env("NICKELFLOW_LOG", "info,nickelflow_daemon::core=debug")
+            .env("NICKELFLOW_LOG", "info,nickelflow_daemon::scheduler_loop=debug")
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts");
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -10,9 +10,9 @@
 use std::time::{Duration, Instant};
 
 use common::{config, Program, PATIENCE};
-use nickelflow_daemon::core::Input;
 use nickelflow_daemon::discovery::{DiscoveryClient, WatchEnd, WatchTiming, TOLD};
-use nickelflow_daemon::list::{EntryNames, List};
+use nickelflow_daemon::endpoint_list::{EntryNames, List};
+use nickelflow_daemon::scheduler_loop::Input;
 use nickelflow_engine::ListKind;
 use rstest::rstest;
 use tokio::io::AsyncReadExt;
