--- a/crates/cli/src/rules.rs
+++ b/crates/cli/src/rules.rs
@@ -37,7 +37,8 @@
             let (Some(voter), Some(data)) = (settings.voter, &settings.data) else {
                 return Err(usage("this scheduler is no voter: it needs no folder".to_owned()));
             };
-            let file = prepare(data, &settings.fleet, voter).map_err(|why| Failed(status::FAILED, why))?;
+            let file =
+                prepare(data, &settings.fleet, voter).map_err(|e| Failed(status::FAILED, e.to_string()))?;
             format!("prepared {} for voter {voter}\n", file.display())
         }
         RulesDo::Found { file } => {
--- /dev/null
+++ b/crates/control-plane/src/leader_service.rs
@@ -0,0 +1,283 @@
+//! What the leader does: it grants leases once a quorum has confirmed that it leads, and advances the
+//! rollout.
+
+use std::collections::BTreeMap;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+
+use nickelflow_rollout::{
+    LeaseConfig, LeaseGrant, LeaseRequest, LeaseTable, Nanos, RolloutState, RulesDocument, Version,
+};
+use tokio::task::JoinSet;
+
+use crate::clock::{Clock, NANOS_PER_MS};
+use crate::command::{Command, CommandOutcome};
+use crate::peer_error::{PeerError, MAX_DOCUMENT_BYTES};
+use crate::raft::types::Raft;
+use crate::read_index::{leading_term, write_error, LeadershipConfirmer, QUORUM_TIMEOUT};
+use crate::state_machine::StateMachine;
+use crate::status::{HolderStatus, LeaderStatus};
+
+/// How often the leader checks whether the next step can be activated, while there is one: often compared
+/// with a lease, which is what a step mostly waits for.
+const ROLLOUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The leader's part of a voter. It serves requests only while its voter leads.
+pub struct LeaderService {
+    id: u64,
+    raft: Raft,
+    state_machine: StateMachine,
+    lease: LeaseConfig,
+    clock: Clock,
+    /// `None` until the voter leads for the first time.
+    term_leases: Mutex<Option<TermLeases>>,
+    confirmer: LeadershipConfirmer,
+}
+
+/// The leases that were granted in one term. Those of earlier terms are not known.
+struct TermLeases {
+    term: u64,
+    table: LeaseTable,
+}
+
+impl LeaderService {
+    /// Starts the service of the voter `id`; `tasks` owns what runs in the background.
+    pub fn start(
+        id: u64,
+        raft: Raft,
+        state_machine: StateMachine,
+        lease: LeaseConfig,
+        clock: Clock,
+        tasks: &mut JoinSet<()>,
+    ) -> Arc<LeaderService> {
+        let confirmer = LeadershipConfirmer::start(id, raft.clone(), tasks);
+        let term_leases = Mutex::new(None);
+        let service = LeaderService { id, raft, state_machine, lease, clock, term_leases, confirmer };
+        let service = Arc::new(service);
+        tasks.spawn(service.clone().advance_rollout());
+        service
+    }
+
+    fn term(&self) -> Option<u64> {
+        leading_term(self.id, &self.raft)
+    }
+
+    /// Returns the number of the leader, as far as this voter knows.
+    pub fn leader(&self) -> Option<u64> {
+        self.raft.metrics().borrow().current_leader
+    }
+
+    fn not_leader(&self) -> PeerError {
+        PeerError::NotLeader(self.leader())
+    }
+
+    /// Runs `operation` on the leases of this term, under their lock, with the time. Returns `None` if this
+    /// voter does not lead.
+    fn with_lease_table<T>(&self, operation: impl FnOnce(&mut LeaseTable, Nanos) -> T) -> Option<T> {
+        let term = self.term()?;
+        let now = self.clock.now();
+        let mut term_leases = self.term_leases.lock().unwrap_or_else(PoisonError::into_inner);
+        match &mut *term_leases {
+            Some(leases) if leases.term == term => Some(operation(&mut leases.table, now)),
+            other => {
+                // Newly elected: every lease of an earlier term was requested before now.
+                let leases = other.insert(TermLeases { term, table: LeaseTable::new(self.lease, now) });
+                Some(operation(&mut leases.table, now))
+            }
+        }
+    }
+
+    /// Grants a lease on the active version to a scheduler, which becomes a member by that.
+    ///
+    /// # Errors
+    ///
+    /// Fails if this voter does not lead, no quorum confirms it, there are no rules, the membership is full,
+    /// or another process has taken the name.
+    pub async fn grant_lease(&self, holder: &str, request: LeaseRequest) -> Result<LeaseGrant, PeerError> {
+        if self.term().is_none() {
+            return Err(self.not_leader());
+        }
+        self.confirmer.confirm().await?;
+        if self.with_lease_table(|table, _| table.over(holder, &request)).unwrap_or(false) {
+            return Err(PeerError::NameTaken);
+        }
+        self.ensure_member(holder).await?;
+        // The lock of the state machine is held for both: no version may become active between reading the
+        // active one and recording what was granted.
+        let granted = self.state_machine.with_rollout(|rollout| {
+            let (version, step) = rollout.active();
+            self.with_lease_table(|table, now| table.grant(now, holder, request, version, step))
+        });
+        match granted.flatten() {
+            Some(Some(grant)) => Ok(grant),
+            Some(None) => Err(PeerError::NameTaken),
+            None => Err(self.not_leader()),
+        }
+    }
+
+    /// Makes a scheduler a member if it is none. One that the membership has no place for asks again and
+    /// again, which must not make the log grow.
+    async fn ensure_member(&self, holder: &str) -> Result<(), PeerError> {
+        let can_join = self.state_machine.with_rollout(|rollout| rollout.can_join(holder));
+        if can_join.ok_or(PeerError::NotBootstrapped)?.map_err(PeerError::Rejected)? {
+            self.write(Command::Join(holder.to_owned())).await?;
+        }
+        Ok(())
+    }
+
+    /// Commits a command to the log, and returns the number that it has led to.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the command is rejected, its document is too large, this voter does not lead, or no quorum
+    /// answers in time. The command may still be committed in the last case.
+    pub async fn write(&self, command: Command) -> Result<u64, PeerError> {
+        if let Command::Propose { document, .. } | Command::Bootstrap(document) = &command {
+            check_document_size(document)?;
+        }
+        let departed = match &command {
+            Command::Leave(name) => Some(name.clone()),
+            _ => None,
+        };
+        let written = tokio::time::timeout(QUORUM_TIMEOUT, self.raft.client_write(command)).await;
+        let written = written.map_err(|_| PeerError::NoQuorum("not written in time".to_owned()))?;
+        let response = written.map_err(write_error)?;
+        if let Some(name) = departed {
+            self.with_lease_table(|table, _| table.left(&name));
+        }
+        match response.data {
+            CommandOutcome::Applied(number) => Ok(number),
+            CommandOutcome::Nothing => Ok(0),
+            CommandOutcome::Rejected(error) => Err(PeerError::Rejected(error)),
+            CommandOutcome::NotBootstrapped => Err(PeerError::NotBootstrapped),
+            CommandOutcome::AlreadyBootstrapped => Err(PeerError::AlreadyBootstrapped),
+        }
+    }
+
+    /// Activates step after step while this voter leads. Without pending steps it waits for a change.
+    async fn advance_rollout(self: Arc<Self>) {
+        let mut state_changes = self.state_machine.subscribe();
+        let mut raft_metrics = self.raft.metrics();
+        loop {
+            if self.has_pending_steps() && self.term().is_some() {
+                if !self.activate_next_step().await {
+                    tokio::time::sleep(ROLLOUT_POLL_INTERVAL).await;
+                }
+                continue;
+            }
+            // Both branches are cancel safe: a watch receiver marks a change as seen only when it reports it.
+            let changed = tokio::select! {
+                changed = state_changes.changed() => changed,
+                changed = raft_metrics.changed() => changed,
+            };
+            if changed.is_err() {
+                return;
+            }
+        }
+    }
+
+    fn has_pending_steps(&self) -> bool {
+        self.state_machine.with_rollout(|rollout| rollout.pending_steps() > 0).unwrap_or(false)
+    }
+
+    /// Returns whether the next step was activated. A failed write needs no other handling: if this voter has
+    /// lost the lead, the next leader goes on.
+    async fn activate_next_step(&self) -> bool {
+        match self.next_step_command() {
+            Some(command) => self.write(command).await.is_ok(),
+            None => false,
+        }
+    }
+
+    /// Returns the command that activates the next step, if no scheduler can hold a lease on an earlier
+    /// version than the active one, and nothing else blocks it.
+    fn next_step_command(&self) -> Option<Command> {
+        let command = self.state_machine.with_rollout(|rollout| {
+            self.with_lease_table(|table, now| {
+                let acknowledged = acknowledged_versions(rollout, table);
+                let blocked = holder_of_prior_lease(rollout, table, now).is_some()
+                    || rollout.blocked_by(&acknowledged).is_some();
+                (!blocked).then(|| Command::Advance { from: rollout.active().0, acknowledged })
+            })
+        });
+        command.flatten().flatten()
+    }
+
+    /// Returns the state of the rollout; `None` if this voter does not lead or there are no rules.
+    pub fn status(&self) -> Option<LeaderStatus> {
+        let status = self.state_machine.with_rollout(|rollout| {
+            self.with_lease_table(|table, now| LeaderStatus {
+                active: rollout.active().0,
+                newest: rollout.documents().last().map_or(0, |(number, _)| number),
+                pending_steps: rollout.pending_steps() as u64,
+                blocked_by: blocked_by(rollout, table, now),
+                holders: holder_statuses(rollout, table, now),
+            })
+        });
+        status.flatten()
+    }
+
+    /// Returns the cached proposals by number, the newest last.
+    ///
+    /// # Errors
+    ///
+    /// Fails if this voter does not lead, no quorum confirms it, or there are no rules.
+    pub async fn history(&self) -> Result<Vec<(u64, RulesDocument)>, PeerError> {
+        self.confirmer.confirm().await?;
+        let proposals = self.state_machine.with_rollout(|rollout| {
+            rollout.documents().map(|(number, document)| (number, document.clone())).collect()
+        });
+        proposals.ok_or(PeerError::NotBootstrapped)
+    }
+}
+
+/// Returns the version that each member has acknowledged in this term.
+fn acknowledged_versions(rollout: &RolloutState, table: &LeaseTable) -> BTreeMap<String, Version> {
+    let acknowledged = |name: &str| Some((name.to_owned(), table.has(name)?));
+    rollout.members().filter_map(|(name, _)| acknowledged(name)).collect()
+}
+
+/// Returns a member that may hold a lease on an earlier version than the active one.
+fn holder_of_prior_lease<'a>(rollout: &'a RolloutState, table: &LeaseTable, now: Nanos) -> Option<&'a str> {
+    let (active, _) = rollout.active();
+    rollout.members().map(|(name, _)| name).find(|name| table.only(now, name, active).is_err())
+}
+
+/// Returns what the next step waits for, if there is one.
+fn blocked_by(rollout: &RolloutState, table: &LeaseTable, now: Nanos) -> Option<String> {
+    if rollout.pending_steps() == 0 {
+        return None;
+    }
+    if let Some(name) = holder_of_prior_lease(rollout, table, now) {
+        return Some(format!("{name} may hold a lease on an earlier version"));
+    }
+    let acknowledged = acknowledged_versions(rollout, table);
+    rollout.blocked_by(&acknowledged).map(|reason| reason.to_string())
+}
+
+fn holder_statuses(rollout: &RolloutState, table: &LeaseTable, now: Nanos) -> Vec<HolderStatus> {
+    let expiries: BTreeMap<&str, Nanos> = table.holders().map(|(name, _, expiry)| (name, expiry)).collect();
+    let left_ms = |name: &str| match expiries.get(name) {
+        Some(expiry) => expiry.saturating_sub(now) / NANOS_PER_MS,
+        None => 0,
+    };
+    let status = |(name, earliest): (&str, Version)| HolderStatus {
+        name: name.to_owned(),
+        acknowledged: table.has(name),
+        earliest,
+        left_ms: left_ms(name),
+    };
+    rollout.members().map(status).collect()
+}
+
+/// Checks that a document fits into a message.
+///
+/// # Errors
+///
+/// Fails if it is larger than [`MAX_DOCUMENT_BYTES`].
+pub fn check_document_size(document: &RulesDocument) -> Result<(), PeerError> {
+    match postcard::to_stdvec(document) {
+        Ok(bytes) if bytes.len() <= MAX_DOCUMENT_BYTES => Ok(()),
+        _ => Err(PeerError::DocumentTooLarge),
+    }
+}
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -1,4 +1,4 @@
-//! Asking another process: one HTTP request, bounded in size and time.
+//! The transport to other processes: one HTTP request, bounded in size and time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,28 +9,64 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
-use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
-use openraft::network::{Backoff, RPCOption, RaftNetwork, RaftNetworkFactory};
-use openraft::raft::{
-    AppendEntriesRequest, AppendEntriesResponse, InstallSnapshotRequest, InstallSnapshotResponse,
-    VoteRequest, VoteResponse,
-};
-use openraft::EmptyNode;
+use thiserror::Error;
 
-use crate::messages::{PeerRequest, PeerResponse, FORMAT, MAX_MESSAGE_BYTES};
-use crate::raft::Types;
+use crate::messages::{PeerRequest, PeerResponse, FLEET_HEADER, FORMAT, FORMAT_HEADER, MAX_MESSAGE_BYTES};
 
 /// Where a process listens for the others: `host:port`.
 pub type Address = String;
 
-/// Headers that tell whose message it is.
-pub const FLEET: &str = "nickelflow-fleet";
-pub const FORMAT_HEADER: &str = "nickelflow-format";
-
-const CONNECT: Duration = Duration::from_millis(500);
-const IDLE: Duration = Duration::from_secs(30);
+/// The longest wait for a connection: as long as the shortest election timeout.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long an unused connection is kept open: far longer than the pause between two heartbeats or renewals.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Unused connections to one process that are kept open, so that Raft's and other requests have one each.
+const MAX_IDLE_CONNECTIONS_PER_HOST: usize = 2;
+/// Bytes of the text of a rejection that are quoted.
+const MAX_QUOTED_BYTES: usize = 200;
+
+/// Why a process could not be asked, or its answer not be read.
+#[derive(Debug, Error)]
+pub enum TransportError {
+    /// No voter is configured, so that there is nobody to ask.
+    #[error("no voter is configured")]
+    NoVoters,
+    /// The voter of this number is not configured.
+    #[error("no address of voter {0} is configured")]
+    UnknownVoter(u64),
+    /// The peer has not answered in time.
+    #[error("{peer}: no answer within {} ms", .limit.as_millis())]
+    Timeout {
+        /// The address of the peer, or `voter` and its number.
+        peer: String,
+        /// How long it was given.
+        limit: Duration,
+    },
+    /// The request is larger than [`MAX_MESSAGE_BYTES`].
+    #[error("{address}: the message is too large")]
+    TooLarge {
+        /// The address of the peer.
+        address: Address,
+    },
+    /// The peer has rejected the request before it was read.
+    #[error("{address}: {reason}")]
+    Rejected {
+        /// The address of the peer.
+        address: Address,
+        /// The beginning of the response's body.
+        reason: String,
+    },
+    /// The message cannot be written or read, or the connection failed.
+    #[error("{address}: {source}")]
+    Exchange {
+        /// The address of the peer.
+        address: Address,
+        /// What failed.
+        source: Box<dyn std::error::Error + Send + Sync>,
+    },
+}
 
-/// The way to other processes of one fleet.
+/// The transport to other processes of one fleet.
 #[derive(Clone)]
 pub struct Peers {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -39,129 +75,80 @@
 }
 
 impl Peers {
-    /// `voters` by number, where this process reaches them.
+    /// Creates the transport of a fleet; `voters` are the addresses of the voters by number.
     pub fn new(fleet: String, voters: BTreeMap<u64, Address>) -> Peers {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(CONNECT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE)
-            .pool_max_idle_per_host(2)
+            .pool_idle_timeout(IDLE_TIMEOUT)
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS_PER_HOST)
             .build(connector);
         Peers { client, fleet, voters }
     }
 
+    /// Returns the addresses of the voters by number.
     pub fn voters(&self) -> &BTreeMap<u64, Address> {
         &self.voters
     }
 
-    /// Asks the process at an address; what takes longer than `limit` has failed, and its connection is closed.
+    /// Asks the process at an address.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the exchange fails or takes longer than `limit`; its connection is closed then. An answer
+    /// that says no is an [`Ok`] with a [`PeerResponse::Error`].
     pub async fn ask(
         &self,
         address: &str,
-        call: &PeerRequest,
+        request: &PeerRequest,
+        limit: Duration,
+    ) -> Result<PeerResponse, TransportError> {
+        let exchange = tokio::time::timeout(limit, self.exchange(address, request)).await;
+        exchange.unwrap_or_else(|_| Err(TransportError::Timeout { peer: address.to_owned(), limit }))
+    }
+
+    /// Asks a voter by its number; else the same as [`ask`](Self::ask).
+    ///
+    /// # Errors
+    ///
+    /// Fails as [`ask`](Self::ask) does, and if the voter is not configured.
+    pub async fn ask_voter(
+        &self,
+        id: u64,
+        request: &PeerRequest,
         limit: Duration,
-    ) -> Result<PeerResponse, String> {
-        let asked = tokio::time::timeout(limit, self.exchange(address, call)).await;
-        asked.unwrap_or_else(|_| Err(format!("{address}: no answer within {} ms", limit.as_millis())))
+    ) -> Result<PeerResponse, TransportError> {
+        let address = self.voters.get(&id).ok_or(TransportError::UnknownVoter(id))?;
+        self.ask(address, request, limit).await
     }
 
-    async fn exchange(&self, address: &str, call: &PeerRequest) -> Result<PeerResponse, String> {
-        let failed = |e: &dyn std::fmt::Display| format!("{address}: {e}");
-        let body = postcard::to_stdvec(call).map_err(|e| failed(&e))?;
+    async fn exchange(&self, address: &str, request: &PeerRequest) -> Result<PeerResponse, TransportError> {
+        let body = postcard::to_stdvec(request).map_err(|e| exchange_error(address, e))?;
         if body.len() > MAX_MESSAGE_BYTES {
-            return Err(failed(&"the message is too large"));
+            return Err(TransportError::TooLarge { address: address.to_owned() });
         }
-        let request = Request::post(format!("http://{address}{}", call.path()))
-            .header(FLEET, &self.fleet)
+        let request = Request::post(format!("http://{address}{}", request.path()))
+            .header(FLEET_HEADER, &self.fleet)
             .header(FORMAT_HEADER, FORMAT)
             .body(Full::new(Bytes::from(body)))
-            .map_err(|e| failed(&e))?;
-        let response = self.client.request(request).await.map_err(|e| failed(&e))?;
+            .map_err(|e| exchange_error(address, e))?;
+        let response = self.client.request(request).await.map_err(|e| exchange_error(address, e))?;
         let status = response.status();
-        let body =
-            Limited::new(response.into_body(), MAX_MESSAGE_BYTES).collect().await.map_err(|e| failed(&e))?;
-        let body = body.to_bytes();
+        let body = Limited::new(response.into_body(), MAX_MESSAGE_BYTES).collect().await;
+        let body = body.map_err(|e| exchange_error(address, e))?.to_bytes();
         if status != StatusCode::OK {
-            return Err(failed(&String::from_utf8_lossy(&body[..body.len().min(200)])));
+            let reason = String::from_utf8_lossy(&body[..body.len().min(MAX_QUOTED_BYTES)]).into_owned();
+            return Err(TransportError::Rejected { address: address.to_owned(), reason });
         }
-        postcard::from_bytes(&body).map_err(|e| failed(&e))
+        postcard::from_bytes(&body).map_err(|e| exchange_error(address, e))
     }
 }
 
-/// The way to one voter, for the consensus library.
-pub struct Voter {
-    peers: Peers,
-    id: u64,
-}
-
-type RpcFailed<E = openraft::error::Infallible> = RPCError<u64, EmptyNode, RaftError<u64, E>>;
-
-fn unreachable<E: std::error::Error>(why: String) -> RpcFailed<E> {
-    RPCError::Unreachable(Unreachable::new(&std::io::Error::other(why)))
-}
-
-fn odd<E: std::error::Error>(answer: &PeerResponse) -> RpcFailed<E> {
-    let why = match answer {
-        PeerResponse::Error(why) => why.to_string(),
-        _ => "answered something else".to_owned(),
-    };
-    RPCError::Network(NetworkError::new(&std::io::Error::other(why)))
-}
-
-impl Voter {
-    async fn ask(&self, call: &PeerRequest, option: &RPCOption) -> Result<PeerResponse, String> {
-        let address = self.peers.voters.get(&self.id);
-        let address = address.ok_or_else(|| format!("no address of voter {} is configured", self.id))?;
-        self.peers.ask(address, call, option.hard_ttl()).await
-    }
-}
-
-impl RaftNetwork<Types> for Voter {
-    async fn append_entries(
-        &mut self,
-        rpc: AppendEntriesRequest<Types>,
-        option: RPCOption,
-    ) -> Result<AppendEntriesResponse<u64>, RpcFailed> {
-        match self.ask(&PeerRequest::AppendEntries(rpc), &option).await.map_err(unreachable)? {
-            PeerResponse::AppendEntries(done) => done.map_err(|e| RemoteError::new(self.id, e).into()),
-            other => Err(odd(&other)),
-        }
-    }
-
-    async fn install_snapshot(
-        &mut self,
-        rpc: InstallSnapshotRequest<Types>,
-        option: RPCOption,
-    ) -> Result<InstallSnapshotResponse<u64>, RpcFailed<InstallSnapshotError>> {
-        match self.ask(&PeerRequest::InstallSnapshot(rpc), &option).await.map_err(unreachable)? {
-            PeerResponse::InstallSnapshot(done) => done.map_err(|e| RemoteError::new(self.id, e).into()),
-            other => Err(odd(&other)),
-        }
-    }
-
-    async fn vote(
-        &mut self,
-        rpc: VoteRequest<u64>,
-        option: RPCOption,
-    ) -> Result<VoteResponse<u64>, RpcFailed> {
-        match self.ask(&PeerRequest::Vote(rpc), &option).await.map_err(unreachable)? {
-            PeerResponse::Vote(done) => done.map_err(|e| RemoteError::new(self.id, e).into()),
-            other => Err(odd(&other)),
-        }
-    }
-
-    /// After one that could not be reached: soon, for a link that is mended must not cost an election.
-    fn backoff(&self) -> Backoff {
-        Backoff::new(std::iter::repeat(Duration::from_millis(200)))
-    }
-}
-
-impl RaftNetworkFactory<Types> for Peers {
-    type Network = Voter;
-
-    async fn new_client(&mut self, target: u64, _node: &EmptyNode) -> Voter {
-        Voter { peers: self.clone(), id: target }
-    }
+fn exchange_error(
+    address: &str,
+    source: impl Into<Box<dyn std::error::Error + Send + Sync>>,
+) -> TransportError {
+    TransportError::Exchange { address: address.to_owned(), source: source.into() }
 }
--- a/crates/control-plane/tests/councils.rs
+++ b/crates/control-plane/tests/control_plane.rs
@@ -377,7 +377,8 @@
         prepare(&path, fleet, voter).expect("a new folder");
         let why = stamped_otherwise(&path);
         assert!(why.contains(told), "{why}");
-        assert!(prepare(&path, FLEET, 1).expect_err("not over another's").contains("already"));
+        let error = prepare(&path, FLEET, 1).expect_err("not over another's");
+        assert!(error.to_string().contains("already"), "{error}");
     }
     let path = folder.path().join("c");
     std::fs::create_dir(&path).expect("a folder");
@@ -393,6 +394,7 @@
     acts(&fleet.running[&1], 100.0).await;
     let other = Peers::new("gruyere".to_owned(), BTreeMap::new());
     let why = other.ask(&fleet.voters[&1], &PeerRequest::Status, LIMIT).await.expect_err("another fleet's");
+    let why = why.to_string();
     assert!(why.contains("another fleet"), "{why}");
     let head = format!("POST /rules HTTP/1.1\r\nhost: x\r\nnickelflow-fleet: {}\r\n", fleet.name);
     for (request, told) in [
--- a/crates/daemon/src/rules_conversion.rs
+++ b/crates/daemon/src/rules_conversion.rs
@@ -23,7 +23,7 @@
 ) -> Result<ControlPlane, String> {
     let failed = |e| format!("rules.listen: cannot listen on {address}: {e}");
     let listener = listen(address).await.and_then(tokio::net::TcpListener::into_std).map_err(failed)?;
-    nickelflow_control_plane::start(settings, listener)
+    nickelflow_control_plane::start(settings, listener).map_err(|e| e.to_string())
 }
 
 /// Tells the core of each change, for as long as both run; many changes at once become one.
