--- a/crates/control-plane/src/store/errors.rs
+++ b/crates/control-plane/src/store/errors.rs
@@ -10,7 +10,7 @@
 pub enum StoreError {
     /// The file cannot be read or written now, for the disk is full or fails. That may pass.
     #[error(transparent)]
-    Database(redb::Error),
+    Database(Box<redb::Error>),
     /// The file could not be opened again after a fault. That may pass.
     #[error("not open")]
     Closed,
@@ -22,7 +22,7 @@
 impl StoreError {
     /// Converts any error of the database.
     pub(super) fn database(error: impl Into<redb::Error>) -> StoreError {
-        StoreError::Database(error.into())
+        StoreError::Database(Box::new(error.into()))
     }
 
     /// Whether the same may succeed later.
