--- a/crates/control-plane/tests/message_bytes.rs
+++ b/crates/control-plane/tests/message_bytes.rs
@@ -1,9 +1,10 @@
 //! The postcard bytes of every kind of message between processes, as recorded at commit 04e006e in
-//! `data/message_bytes.txt`: `name hex` lines. `Command` is also what the log stores. The order, number and types of
-//! fields and variants must not change, or programs of two builds read each other wrongly; names are free.
+//! `data/message_bytes.txt`: `name hex` lines. `Command` is also what the log stores. The order, number and
+//! types of fields and variants must not change, or programs of two builds read each other wrongly; names are
+//! free.
 //!
-//! Messages cannot be compared with `==`: a recorded one must be encoded to the same bytes again after it was decoded,
-//! and look like the one built here in its `Debug` form.
+//! Messages cannot be compared with `==`: a recorded one must be encoded to the same bytes again after it was
+//! decoded, and look like the one built here in its `Debug` form.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
@@ -85,7 +86,8 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-// All values are made here. No two fields of one type have the same value, so that any two that are swapped show.
+// All values are made here. No two fields of one type have the same value, so that any two that are swapped
+// show.
 
 fn version(number: u64) -> Version {
     Version { number, term: 7 }
