--- a/crates/dispatcher/src/dispatcher/membership.rs
+++ b/crates/dispatcher/src/dispatcher/membership.rs
@@ -1,127 +1,125 @@
-//! The list of workers, their entries and indexes, and the rules on which all dispatchers agree.
+//! The list of workers, and the rules on which all dispatchers agree.
 
-use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use super::{Dispatcher, K_KEYED};
-use crate::cold_start::TokenBucket;
-use crate::index::mix;
-use crate::interface::*;
-use crate::state::{Due, Job, Worker};
-use crate::MS;
+use super::Dispatcher;
+use crate::action::Action;
+use crate::active_rules::RulesUpdate;
+use crate::event::ListKind;
+use crate::job::Job;
+use crate::rules::Rules;
+use crate::settings::Idempotency;
+use crate::slow_start::TokenBucket;
+use crate::time::{Nanos, MILLISECOND};
+use crate::timers::Timer;
+use crate::worker::Worker;
+use crate::worker_entry::{WorkerEntry, WorkerStatus};
+use crate::worker_table::EntryChange;
 
 /// Longest delay (ns) of the first probe of a new worker, for each dispatcher that does the same.
-const FIRST_PROBE: Nanos = 3 * MS;
+const MAX_FIRST_PROBE_DELAY: Nanos = 3 * MILLISECOND;
+/// Backoff (ns) before membership changes are subscribed to again. All dispatchers fail together when the
+/// list service is overloaded, so it grows with their number.
+const SUBSCRIBE_BACKOFF: Nanos = 500 * MILLISECOND;
+const SUBSCRIBE_BACKOFF_PER_DISPATCHER: Nanos = 10 * MILLISECOND;
+/// The part (1/n) of an unsubscribed list's validity that the backoff may take: the list must not lapse for
+/// it.
+const MAX_BACKOFF_DIVISOR: Nanos = 2;
 
 impl Dispatcher {
-    pub(super) fn list(&mut self, kind: ListKind, entries: Vec<WorkerEntry>, actions: &mut Vec<Action>) {
-        if self.settings.requires_subscription && !self.asked {
-            // Unasked for, the list grows old, and what it does not tell counts as told.
-            self.asked = true;
+    /// Takes in a list of workers.
+    pub(super) fn apply_worker_list(
+        &mut self,
+        kind: ListKind,
+        entries: Vec<WorkerEntry>,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.settings.requires_subscription && !self.is_subscribed {
+            // Without a subscription the list grows old, and this dispatcher answers for changes that it
+            // misses.
+            self.is_subscribed = true;
             actions.push(Action::Subscribe);
         }
         match kind {
-            ListKind::Failed if !self.settings.requires_subscription => return,
-            ListKind::Failed => {
-                // All dispatchers fail together when the list service is overloaded: come back spread out.
-                let delay = self.jittered(500 * MS + 10 * MS * u64::from(self.settings.dispatchers));
-                let at = self.now + delay.min(self.settings.limits.unsubscribed_list_validity / 2);
-                return self.at(at, Due::Subscribe);
-            }
+            ListKind::Failed => return self.schedule_subscription(),
             ListKind::Changes | ListKind::Stale => {}
-            ListKind::Complete | ListKind::Cached => {
-                let listed: BTreeSet<usize> = entries.iter().map(|entry| entry.worker.0 as usize).collect();
-                for index in (0..self.workers.len()).filter(|index| !listed.contains(index)) {
-                    self.workers[index].iter_mut().for_each(|worker| worker.ready = false);
-                    self.note(index);
-                }
-            }
+            ListKind::Complete | ListKind::Cached => self.workers.retain_listed(&entries),
         }
-        // All of them first: how many there are tells whether each is probed for a start.
-        for entry in &entries {
-            let ready = entry.status == WorkerStatus::Ready;
-            self.ring.set(mix(entry.address_hash), entry.worker.0 as usize, ready);
-        }
-        self.demand.listed(self.ring.len());
+        // All of them first: how many there are decides whether each is probed for a start.
+        self.workers.count_ready(&entries);
+        self.arrival_rate.workers_listed(self.workers.ready_count());
         for entry in entries {
-            self.entry(entry);
+            self.apply_entry(entry);
         }
-        let ready = self.workers.iter().flatten().filter(|w| w.ready);
-        let (sum, count) = ready.fold((0.0, 0.0), |(sum, count), w| (sum + self.told(w), count + 1.0));
-        self.mean = if count > 0.0 { sum / count } else { 1.0 };
-        let stale = kind == ListKind::Stale || self.stale && kind == ListKind::Cached;
-        if std::mem::replace(&mut self.stale, stale) != stale {
-            self.settle_all(actions);
+        self.workers.update_mean_registered_size();
+        let stays_stale = self.workers.list_is_stale() && kind == ListKind::Cached;
+        if self.workers.set_list_is_stale(kind == ListKind::Stale || stays_stale) {
+            self.update_all_open_states(actions);
         }
     }
 
-    pub(super) fn entry(&mut self, entry: WorkerEntry) {
-        let index = entry.worker.0 as usize;
-        if self.workers.len() <= index {
-            self.workers.resize_with(index + 1, || None);
+    fn schedule_subscription(&mut self) {
+        if !self.settings.requires_subscription {
+            return;
         }
-        let ready = entry.status == WorkerStatus::Ready;
-        if let Some(worker) = &mut self.workers[index] {
-            let restarted = entry.started.is_some() && entry.started > worker.entry.started;
-            self.ring.set(mix(worker.entry.address_hash), index, false);
-            worker.entry = entry.clone();
-            if !restarted && worker.ready == ready {
-                return self.note(index);
-            }
-            worker.ready = ready;
-            if !ready {
-                return self.settle(index);
-            }
+        let dispatchers = u64::from(self.settings.dispatchers);
+        let delay = self.jittered(SUBSCRIBE_BACKOFF + SUBSCRIBE_BACKOFF_PER_DISPATCHER * dispatchers);
+        let max_delay = self.settings.limits.unsubscribed_list_validity / MAX_BACKOFF_DIVISOR;
+        self.timers.start(self.now + delay.min(max_delay), Timer::Subscribe);
+    }
+
+    fn apply_entry(&mut self, entry: WorkerEntry) {
+        let index = entry.worker.0 as usize;
+        match self.workers.update_entry(&entry) {
+            EntryChange::None => self.workers.update_indexes(index),
+            EntryChange::NoLongerReady => self.update_open_state(index),
+            EntryChange::Started => self.add_worker(entry),
         }
-        let timer = self.workers[index].as_ref().map_or(0, |old| old.timer.wrapping_add(1));
+    }
+
+    fn add_worker(&mut self, entry: WorkerEntry) {
+        let index = entry.worker.0 as usize;
+        let is_ready = entry.status == WorkerStatus::Ready;
+        let timer_number = self.workers.get(index).map_or(0, |former| former.probe.next_timer_number());
         let random = entry.started.map_or(0.0, |_| self.rng.f64());
         let bucket = TokenBucket::new(self.settings.dispatchers, random, self.now);
-        let mut worker = Worker { ready, bucket, ..Worker::new(entry, timer, self.now) };
-        if ready && self.settings.can_probe && !self.sparse() {
-            worker.waiting = true;
-            let delay = self.rng.u64(0..FIRST_PROBE * u64::from(self.settings.dispatchers));
-            self.at(self.now + delay, Due::Probe(index, timer));
-        } else if ready && !self.settings.can_probe {
-            worker.load.free = Some(worker.load.size);
+        let mut worker = Worker::new(entry, bucket, timer_number, self.now);
+        worker.is_ready = is_ready;
+        if is_ready && self.settings.can_probe && !self.has_low_traffic() {
+            let number = worker.probe.schedule_first();
+            let max_delay = MAX_FIRST_PROBE_DELAY * u64::from(self.settings.dispatchers);
+            let delay = self.rng.u64(0..max_delay);
+            self.timers.start(self.now + delay, Timer::Probe { worker: index, number });
+        } else if is_ready && !self.settings.can_probe {
+            worker.load.assume_idle();
         }
-        self.workers[index] = Some(worker);
-        self.note(index);
-    }
-
-    /// Brings the indexes up to what a worker is now.
-    pub(super) fn note(&mut self, index: usize) {
-        let Some(worker) = &self.workers[index] else { return };
-        let may = worker.ready && !worker.shut && worker.load.free.is_some_and(|free| free + K_KEYED > 0.0);
-        let near = worker.entry.zone == self.settings.zone;
-        self.near.set(index, may && near);
-        self.far.set(index, may && !near);
-        self.ring.set(mix(worker.entry.address_hash), index, worker.ready);
-        self.failing.set(index, worker.ready && worker.failures >= 1.0);
+        self.workers.insert(worker);
     }
 
-    pub(super) fn rules(&mut self, rules: Arc<Rules>, until: Nanos, actions: &mut Vec<Action>) {
+    /// Takes in rules on which all dispatchers agree.
+    pub(super) fn apply_rules(&mut self, rules: Arc<Rules>, valid_until: Nanos, actions: &mut Vec<Action>) {
         self.settings.dispatchers = rules.quota_shares.max(1);
-        let changed = self.told.tell(rules, until, self.now);
-        let tells = changed && self.settings.can_cancel && self.settings.notifies_job_start;
-        let again = |job: &Job| {
-            self.settings.classes[job.request.class as usize].idempotency != Idempotency::NonIdempotent
-        };
-        let hash = |n: usize| self.workers[n].as_ref().map(|w| w.entry.address_hash);
-        let drained = |n: usize| hash(n).is_some_and(|hash| self.told.drained(hash));
-        for (id, job) in self.jobs.iter().filter(|(_, job)| tells && again(job)) {
-            let out = job.attempts.iter().enumerate();
-            let out = out.filter(|(_, a)| a.out && a.heard.is_none() && drained(a.worker));
-            actions.extend(out.map(|(n, _)| Action::Cancel { request: *id, attempt: n as u32 }));
+        if self.active_rules.update(rules, valid_until, self.now) == RulesUpdate::Extended {
+            return;
         }
-        if changed {
-            self.settle_all(actions);
+        if self.settings.can_cancel && self.settings.notifies_job_start {
+            self.cancel_attempts_at_drained_workers(actions);
         }
+        self.update_all_open_states(actions);
     }
 
-    /// Its registered size, if that is told and can be.
-    pub(super) fn told(&self, worker: &Worker) -> f64 {
-        let sound =
-            |weight: &f64| self.settings.reports_registered_size && *weight > 0.0 && weight.is_finite();
-        Some(worker.entry.weight).filter(sound).unwrap_or(1.0)
+    fn cancel_attempts_at_drained_workers(&self, actions: &mut Vec<Action>) {
+        let is_drained = |index: usize| {
+            let worker = self.workers.get(index);
+            worker.is_some_and(|worker| self.active_rules.drains(worker.entry.address_hash))
+        };
+        let may_run_again = |job: &Job| self.class_of(job).idempotency != Idempotency::NonIdempotent;
+        for (request, job) in self.jobs.iter().filter(|(_, job)| may_run_again(job)) {
+            for (number, attempt) in job.attempts.iter().enumerate() {
+                if attempt.is_unconfirmed() && is_drained(attempt.worker) {
+                    actions.push(Action::Cancel { request: *request, attempt: number as u32 });
+                }
+            }
+        }
     }
 }
--- a/crates/dispatcher/src/dispatcher/mod.rs
+++ b/crates/dispatcher/src/dispatcher/mod.rs
@@ -1,12 +1,15 @@
-//! Every decision of a dispatcher. Its events, actions and settings are in `interface.rs`.
+//! The dispatcher's decisions.
 //!
-//! The path of a request: it comes in, is judged to be within its tenant's share or over it, and goes to an
-//! open worker, one whose last probed free slots, less own sends since (own ends give back), plus K, cover
-//! it. With none open it is held, in arrival order, until a worker reopens, and refused with a retry-after
-//! once its wait passes the time in which it could still be of use. A worker that no longer covers a job is
-//! closed and probed after TAU; open ones are not probed. An attempt that ends unserved sends the request
-//! back to the hold where its class allows another, and else to its final answer. Shortly before the client
+//! A request arrives, is judged to be within its tenant's quota or over it, and goes to an open worker: one
+//! whose last probed free slots, less own sends since (own ends give back), plus K, cover it. With none open
+//! it is held, in arrival order, until a worker reopens, and rejected with a Retry-After once it has waited
+//! for so long that an answer would come too late. A worker that no longer covers a job is closed and probed
+//! after tau; open ones are not probed. An attempt that ends without a result sends the request back to the
+//! hold queue where its class allows another attempt, and else to its final answer. Shortly before the client
 //! gives up, whatever is still open is answered.
+//!
+//! A dispatcher that sends each worker next to nothing ("low traffic") probes instead when a job needs it:
+//! the job's candidates, one after the other.
 
 mod admission;
 mod attempts;
@@ -17,173 +20,178 @@
 
 use std::collections::BTreeMap;
 
-use crate::cold_start::Admission;
-use crate::index::{Agenda, Counts, Hold, Pool, Ring};
-use crate::interface::*;
-use crate::load::Load;
-use crate::meters::{Demand, Room, Shares};
+use crate::action::Action;
+use crate::active_rules::ActiveRules;
+use crate::event::Event;
+use crate::held_requests::HeldRequests;
+use crate::ids::{AttemptId, RequestId};
+use crate::job::{AttemptOutcome, Job};
+use crate::key_frequency::KeyFrequency;
+use crate::probe_budget::ProbeBudget;
 use crate::service_rate::ServiceRates;
-use crate::state::{ClassView, Due, Job, Worker};
-use crate::told::Told;
-use crate::{MS, SECOND};
+use crate::settings::{Class, Settings, SettingsError};
+use crate::slow_start_admission::SlowStartAdmission;
+use crate::time::{Nanos, MILLISECOND, NANOS_PER_SECOND};
+use crate::timers::{Timer, TimerQueue};
+use crate::traffic::{ArrivalRate, ClassStats, Quotas};
+use crate::worker_load::{FleetFreeShare, MAX_REPORT_AGE};
+use crate::worker_table::WorkerTable;
 
-/// Probes for each request that comes in, at most.
-const PROBES_A_JOB: f64 = 4.0;
-/// Each delay is drawn from this part of it to its double, so that a body of workers spreads out.
+/// Each delay is drawn from this part of it up to its one and a half, so that workers that close together do
+/// not reopen together.
 const JITTER: f64 = 0.5;
-/// A report may be this old (ns): own sends and ends younger than that are not in it yet.
-const REPORT_AGE: Nanos = Load::REPORT_AGE;
-/// A dispatcher is sparse that sends a worker fewer jobs than this in a report's age: its own sends then say
-/// next to nothing of how the worker fares, and a report is good for FRESH (ns) only. Closed workers are then
-/// probed when a job wants them, one after the other, the next one where an answer takes longer than HEDGE.
-const SPARSE: f64 = 0.5;
-const FRESH: Nanos = 300 * MS;
-const HEDGE: Nanos = 30 * MS;
-/// Jobs of which the keys are remembered.
-const KEYS_SEEN: f64 = 400.0;
-/// Slots that a worker may be sent beyond its free ones; below 1, it only covers the noise of reports.
-const K: f64 = 0.5;
-/// The same for a job at a home of its key: fetching the key elsewhere costs more than a short wait.
-const K_KEYED: f64 = 2.5;
-/// From a close to the probe (ns): about a short job's run; reports are not fresher than that.
-const TAU: Nanos = 200 * MS;
+/// A dispatcher has little traffic that sends a worker fewer jobs than this in a report's age: its own sends
+/// then say next to nothing of how the worker fares.
+const LOW_TRAFFIC_JOBS_PER_REPORT: f64 = 0.5;
+/// How long (ns) a report is good for where traffic is low.
+const LOW_TRAFFIC_REPORT_AGE: Nanos = 300 * MILLISECOND;
+/// A probe that takes longer than this (ns) no longer keeps a job from its next candidate.
+const CANDIDATE_PROBE_WAIT: Nanos = 30 * MILLISECOND;
+/// Requests of which the keys are remembered.
+const REMEMBERED_KEYS: f64 = 400.0;
 
-/// One dispatcher's decisions.
+/// One dispatcher's decisions, as a state machine without I/O.
 pub struct Dispatcher {
     settings: Settings,
     rng: fastrand::Rng,
     now: Nanos,
-    workers: Vec<Option<Worker>>,
-    /// Workers that may be open for something, in the own zone and in others; those that are ready, by the
-    /// hash of their names; those of them that fail, and that are cold.
-    near: Pool,
-    far: Pool,
-    ring: Ring,
-    failing: Pool,
+    timers: TimerQueue<Timer>,
+    /// When all requests must be answered, for the dispatcher shuts down.
+    shutdown_deadline: Nanos,
+    workers: WorkerTable,
+    /// Whether membership changes have been subscribed to.
+    is_subscribed: bool,
+    active_rules: ActiveRules,
     jobs: BTreeMap<RequestId, Job>,
-    held: Hold<(u8, u64), RequestId>,
+    /// Requests that have arrived.
     arrivals: u64,
-    /// Slots that a worker must cover to count as open: those of the widest held job. And the memory: what
-    /// the hungriest held job takes, or a usual one.
-    need: f64,
-    need_memory: f64,
-    usual_memory: f64,
-    classes: Vec<ClassView>,
-    shares: Shares,
-    demand: Demand,
-    agenda: Agenda<Due>,
-    asked: bool,
-    /// The list may lack what counts as told.
-    stale: bool,
-    keys: Counts,
-    /// Registered size of the ready workers, on average, and that of their weights.
-    mean: f64,
-    mean_weight: f64,
-    cold_admission: Admission,
-    rates: ServiceRates,
-    /// Probes that jobs have paid for, and the room that reports show.
-    probes: f64,
-    room: Room,
-    /// What all dispatchers have agreed on.
-    told: Told,
-    /// When all must be answered, for this dispatcher ends.
-    ending: Nanos,
+    held: HeldRequests,
+    quotas: Quotas,
+    arrival_rate: ArrivalRate,
+    classes: Vec<ClassStats>,
+    key_frequency: KeyFrequency,
+    /// Mean traffic weight of the workers, as of the last candidates that were ranked.
+    mean_traffic_weight: f64,
+    service_rates: ServiceRates,
+    slow_start_admission: SlowStartAdmission,
+    probe_budget: ProbeBudget,
+    fleet_free_share: FleetFreeShare,
 }
 
 impl Dispatcher {
+    /// Creates a dispatcher that knows no workers. Its random choices follow from the seed.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no decisions can be made by the settings.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let classes = settings.classes.iter().map(ClassView::new).collect();
         Ok(Dispatcher {
             rng: fastrand::Rng::with_seed(seed),
             now: 0,
-            workers: Vec::new(),
-            near: Pool::default(),
-            far: Pool::default(),
-            ring: Ring::default(),
-            failing: Pool::default(),
+            timers: TimerQueue::default(),
+            shutdown_deadline: Nanos::MAX,
+            workers: WorkerTable::new(&settings),
+            is_subscribed: false,
+            active_rules: ActiveRules::default(),
             jobs: BTreeMap::new(),
-            held: Hold::default(),
             arrivals: 0,
-            need: 1.0,
-            need_memory: 0.0,
-            usual_memory: 0.0,
-            classes,
-            shares: Shares::new(&settings),
-            demand: Demand::new(&settings),
-            agenda: Agenda::default(),
-            asked: false,
-            stale: false,
-            rates: ServiceRates::new(&settings),
-            keys: Counts::new(KEYS_SEEN),
-            mean: 1.0,
-            mean_weight: 1.0,
-            cold_admission: Admission::default(),
-            probes: PROBES_A_JOB,
-            room: Room::default(),
-            told: Told::default(),
-            ending: Nanos::MAX,
+            held: HeldRequests::new(),
+            quotas: Quotas::new(&settings),
+            arrival_rate: ArrivalRate::new(&settings),
+            classes: settings.classes.iter().map(ClassStats::new).collect(),
+            key_frequency: KeyFrequency::new(REMEMBERED_KEYS),
+            mean_traffic_weight: 1.0,
+            service_rates: ServiceRates::new(&settings),
+            slow_start_admission: SlowStartAdmission::default(),
+            probe_budget: ProbeBudget::new(),
+            fleet_free_share: FleetFreeShare::default(),
             settings,
         })
     }
 
-    /// Takes one event at its time, and appends what is to be done about it, in order.
+    /// Takes in one event at its time, and appends what is to be done about it, in order. A time before that
+    /// of an earlier event counts as that one.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
+        self.apply_event(event, actions);
+        while let Some(timer) = self.timers.pop_expired(self.now) {
+            self.apply_timer(timer, actions);
+        }
+        actions.extend(self.timers.request_wake(self.now).map(|at| Action::Wake { at }));
+    }
+
+    fn apply_event(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::WorkerList { kind, entries } => self.list(kind, entries, actions),
-            Event::Request(request) => self.request(request, actions),
-            Event::Progress { request, attempt } => self.progress(request, attempt),
-            Event::Streaming { request, attempt } => {
-                self.progress(request, attempt);
+            Event::WorkerList { kind, entries } => self.apply_worker_list(kind, entries, actions),
+            Event::Request(request) => self.accept_request(request, actions),
+            Event::Progress { request, attempt: number } => {
+                self.note_progress(AttemptId { request, number });
+            }
+            Event::Streaming { request, attempt: number } => {
+                self.note_progress(AttemptId { request, number });
                 if let Some(job) = self.jobs.get_mut(&request) {
-                    job.streaming = true;
+                    job.is_streaming = true;
                 }
             }
-            Event::AttemptEnded { request, attempt, outcome, finished, report } => {
-                self.outcome(request, attempt, (outcome, finished, report), actions);
+            Event::AttemptEnded { request, attempt: number, outcome, finished, report } => {
+                let outcome = AttemptOutcome { outcome, finished, report };
+                self.end_attempt(AttemptId { request, number }, &outcome, actions);
             }
             Event::ProbeCompleted { worker, outcome, report } => {
-                self.probed(worker, outcome, report, actions)
+                self.complete_probe(worker, outcome, report, actions);
             }
             Event::ClientDisconnected { request } => {
-                self.call_back(request, actions);
-                self.end(request);
-            }
-            Event::Shutdown { deadline: by } => {
-                self.ending = by.min(self.ending);
-                for id in self.jobs.keys() {
-                    self.agenda.put(self.ending, Due::Deadline(*id));
-                }
+                self.cancel_attempts(request, actions);
+                self.close_request(request);
             }
-            Event::Rules { rules, valid_until: until } => self.rules(rules, until, actions),
-            // A wake may come a little early, where the caller's clock is coarser: ask again for the next.
-            Event::Wake => self.agenda.woken(self.now + self.settings.clock_resolution),
+            Event::Shutdown { deadline } => self.begin_shutdown(deadline),
+            Event::Rules { rules, valid_until } => self.apply_rules(rules, valid_until, actions),
+            // A wake-up may come a little early, where the caller's clock is coarser: the next is requested
+            // anew.
+            Event::Wake => self.timers.note_wake(self.now + self.settings.clock_resolution),
         }
-        while let Some(due) = self.agenda.next(self.now) {
-            match due {
-                Due::Deadline(id) => self.answer(id, actions),
-                Due::Patience(id) => self.patience_over(id, actions),
-                Due::Unheard(id, attempt) => self.unheard(id, attempt, actions),
-                Due::Probe(worker, timer) => self.probe(worker, timer, actions),
-                Due::Seek(id, seek) => self.seek(id, seek, actions),
-                Due::Serve(worker) => self.serve(worker, actions),
-                Due::Subscribe => actions.push(Action::Subscribe),
+    }
+
+    fn apply_timer(&mut self, timer: Timer, actions: &mut Vec<Action>) {
+        match timer {
+            Timer::Deadline(request) => self.answer(request, actions),
+            Timer::HoldTimeout(request) => self.end_hold(request, actions),
+            Timer::Hedge(attempt) => self.cancel_unconfirmed(attempt, actions),
+            Timer::Probe { worker, number } => self.run_probe_timer(worker, number, actions),
+            Timer::ProbeNextCandidate { request, search } => {
+                self.probe_next_candidate(request, search, actions);
             }
+            Timer::DrainHoldQueue { worker } => self.drain_hold_queue(worker, actions),
+            Timer::Subscribe => actions.push(Action::Subscribe),
         }
-        actions.extend(self.agenda.wake(self.now).map(|at| Action::Wake { at }));
     }
 
-    fn at(&mut self, at: Nanos, due: Due) {
-        self.agenda.put(at, due);
+    fn begin_shutdown(&mut self, deadline: Nanos) {
+        self.shutdown_deadline = deadline.min(self.shutdown_deadline);
+        for request in self.jobs.keys() {
+            self.timers.start(self.shutdown_deadline, Timer::Deadline(*request));
+        }
     }
 
+    /// Returns a delay (ns) drawn from around the given one.
     fn jittered(&mut self, delay: Nanos) -> Nanos {
         let factor = JITTER + self.rng.f64() * (2.0 - JITTER - JITTER);
         (delay as f64 * factor) as Nanos
     }
-    fn sparse(&self) -> bool {
-        let wanted = self.demand.per_s() * REPORT_AGE as f64 / SECOND;
-        self.settings.can_probe && wanted < SPARSE * self.ring.len() as f64
+
+    fn class_of(&self, job: &Job) -> &Class {
+        &self.settings.classes[job.request.class as usize]
+    }
+
+    /// Returns the jobs that arrive in the age of a report.
+    fn jobs_per_report(&self) -> f64 {
+        self.arrival_rate.per_s() * MAX_REPORT_AGE as f64 / NANOS_PER_SECOND
+    }
+
+    /// Returns whether the dispatcher sends each worker next to nothing.
+    fn has_low_traffic(&self) -> bool {
+        let limit = LOW_TRAFFIC_JOBS_PER_REPORT * self.workers.ready_count() as f64;
+        self.settings.can_probe && self.jobs_per_report() < limit
     }
 }
--- a/crates/dispatcher/src/dispatcher/probing.rs
+++ b/crates/dispatcher/src/dispatcher/probing.rs
@@ -1,135 +1,140 @@
-//! Probes of workers, and what their reports say.
+//! Probes of workers: when they are sent, and what their reports say.
 
 use std::ops::Bound;
 
-use super::{Dispatcher, FRESH, HEDGE, K, PROBES_A_JOB, REPORT_AGE, TAU};
-use crate::interface::*;
-use crate::load::Part;
-use crate::state::{Due, Job, MAX_DOUBLINGS};
-use crate::{MS, SECOND};
+use super::{Dispatcher, CANDIDATE_PROBE_WAIT, LOW_TRAFFIC_REPORT_AGE};
+use crate::action::Action;
+use crate::event::{LoadReport, Outcome};
+use crate::ids::{RequestId, WorkerId};
+use crate::job::Job;
+use crate::paper::TAU;
+use crate::probe_budget::ProbeBudget;
+use crate::time::{Nanos, MILLISECOND};
+use crate::timers::Timer;
+use crate::worker::{FailureWeight, MAX_DOUBLINGS};
+use crate::worker_load::{LowTrafficShare, ReportShare};
 
 /// A probe unanswered for this long (ns) counts as failed.
-const PROBE_LOST: Nanos = 2_000 * MS;
+const PROBE_TIMEOUT: Nanos = 2_000 * MILLISECOND;
+/// Doublings of the wait for a probe where most workers fail: that is something they share, and the fleet
+/// must not be given up for it.
+const MAX_DOUBLINGS_OF_SHARED_FAULT: f64 = 1.0;
 
 impl Dispatcher {
-    /// Whether a worker that the job may go to can be asked for a report, or has been and may yet answer.
-    pub(super) fn unheard_of(&self, index: usize, job: &Job) -> bool {
-        self.can_be_probed(index, job) && self.admits(index, job)
+    /// Brings the indexes up to date with a worker, and schedules or cancels its next probe by whether it is
+    /// closed. Where traffic is low workers are probed only when a job needs it.
+    pub(super) fn update_open_state(&mut self, index: usize) {
+        self.workers.update_indexes(index);
+        if self.has_low_traffic() {
+            return;
+        }
+        let (slots, memory) = (self.held.required_slots(), self.held.required_memory());
+        let list_is_stale = self.workers.list_is_stale();
+        let Some(worker) = self.workers.get_mut(index) else { return };
+        let is_closed = list_is_stale || worker.is_closed_to(slots, memory);
+        if !is_closed || !worker.is_ready {
+            worker.probe.cancel();
+        } else if self.settings.can_probe && worker.probe.is_idle() {
+            self.schedule_probe(index);
+        }
+    }
+
+    fn schedule_probe(&mut self, index: usize) {
+        let most_are_failing = self.workers.most_are_failing();
+        let worker_count = self.workers.len();
+        let Some(worker) = self.workers.get_mut(index) else { return };
+        // A worker that keeps failing is probed ever more rarely.
+        let is_shared_fault = worker.fails_repeatedly() && most_are_failing;
+        let max_doublings = if is_shared_fault { MAX_DOUBLINGS_OF_SHARED_FAULT } else { MAX_DOUBLINGS };
+        let backoff_factor = worker.backoff_factor(max_doublings);
+        let number = worker.probe.schedule();
+        let interval = ProbeBudget::affordable_interval(worker_count, self.arrival_rate.per_s());
+        let delay = self.jittered((interval.max(TAU as f64) * backoff_factor) as Nanos);
+        self.timers.start(self.now + delay, Timer::Probe { worker: index, number });
     }
 
-    /// The same, whatever it may be sent while it is cold.
+    /// Updates the state of all workers, and gives them what is held.
+    pub(super) fn update_all_open_states(&mut self, actions: &mut Vec<Action>) {
+        for index in 0..self.workers.len() {
+            self.update_open_state(index);
+            self.drain_hold_queue(index, actions);
+        }
+    }
+
+    /// Returns whether a candidate that the job may go to can be probed, or has been and may yet answer.
+    pub(super) fn awaits_report(&self, index: usize, job: &Job) -> bool {
+        self.can_be_probed(index, job) && self.slow_start_admits(index, job)
+    }
+
+    /// Returns the same as [`Dispatcher::awaits_report`], whatever the worker may be sent while it is warming
+    /// up.
     pub(super) fn can_be_probed(&self, index: usize, job: &Job) -> bool {
-        let Some(worker) = self.workers[index].as_ref().filter(|w| w.ready) else { return false };
-        let due = if worker.probing { self.now < worker.asked + HEDGE } else { self.now >= worker.next };
-        due && self.now > worker.read + FRESH
-            && (worker.probing || self.probes >= 1.0)
-            && self.told.allows(worker.entry.address_hash, job.request.tenant, self.now)
-            && self.in_group(worker, job)
+        let Some(worker) = self.workers.get(index).filter(|worker| worker.is_ready) else { return false };
+        worker.probe.may_answer_job(CANDIDATE_PROBE_WAIT, self.now)
+            && worker.probe.is_older_than(LOW_TRAFFIC_REPORT_AGE, self.now)
+            && (worker.probe.is_in_flight() || self.probe_budget.allows_probe())
+            && self.active_rules.allows(worker.entry.address_hash, job.request.tenant, self.now)
+            && self.deduplicates_earlier_attempts(worker, job)
     }
 
-    /// Has the next worker probed that a held job may go to, where it is the job's turn.
-    pub(super) fn seek(&mut self, id: RequestId, seek: u32, actions: &mut Vec<Action>) {
-        let due = |job: &&Job| job.place.is_some() && job.seek == seek;
-        if self.jobs.get(&id).filter(due).is_none() || !self.sparse() {
+    /// Has the next candidate of a held request probed, where traffic is low, or sends it to one that is
+    /// open.
+    pub(super) fn probe_next_candidate(&mut self, id: RequestId, search: u32, actions: &mut Vec<Action>) {
+        let is_current = |job: &Job| job.hold_position.is_some() && job.candidate_search == search;
+        if !self.jobs.get(&id).is_some_and(is_current) || !self.has_low_traffic() {
             return;
         }
-        if let Some(open) = self.pick(id) {
+        if let Some(open) = self.pick_worker(id) {
             return self.send(id, open, actions);
         }
         let Some(job) = self.jobs.get(&id) else { return };
-        let next = job.homes.iter().copied().find(|home| self.unheard_of(*home, job));
-        let again = if next.is_some() { HEDGE } else { self.jittered(TAU) };
-        next.into_iter().for_each(|index| self.ask(index, actions));
+        let next = job.candidates.iter().copied().find(|index| self.awaits_report(*index, job));
+        let delay = match next {
+            Some(_) => CANDIDATE_PROBE_WAIT,
+            None => self.jittered(TAU),
+        };
+        if let Some(index) = next {
+            self.probe_for_job(index, actions);
+        }
+        let search = search.wrapping_add(1);
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.seek = seek.wrapping_add(1);
-            self.at(self.now + again, Due::Seek(id, seek.wrapping_add(1)));
+            job.candidate_search = search;
+            self.timers.start(self.now + delay, Timer::ProbeNextCandidate { request: id, search });
         }
     }
 
-    pub(super) fn ask(&mut self, index: usize, actions: &mut Vec<Action>) {
-        let Some(worker) = self.workers[index].as_mut().filter(|w| !w.probing) else { return };
-        worker.asked = self.now;
-        worker.next = self.now + (TAU as f64 * worker.failures.min(MAX_DOUBLINGS).exp2()) as Nanos;
-        worker.timer = worker.timer.wrapping_add(1);
-        worker.waiting = true;
-        self.probes -= 1.0;
-        let timer = worker.timer;
-        self.probe(index, timer, actions);
-    }
-
-    /// Starts or gives up the timer that leads to a worker's next probe, by whether it is closed.
-    pub(super) fn settle(&mut self, index: usize) {
-        self.note(index);
-        if self.sparse() {
+    fn probe_for_job(&mut self, index: usize, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(index) else { return };
+        if worker.probe.is_in_flight() {
             return;
         }
-        let (need, need_memory) = (self.need, self.need_memory.max(self.usual_memory));
-        let can_probe = self.settings.can_probe;
-        let shared = self.workers[index].as_ref().is_some_and(|w| w.failures > 1.0);
-        let shared = shared && 2 * self.failing.members().len() > self.ring.len();
-        let Some(worker) = &mut self.workers[index] else { return };
-        // One without memory takes next to nothing: left open for its slots, it would never be probed again.
-        let full = worker.load.memory.is_some_and(|free| free < need_memory.min(worker.load.room));
-        let closed = worker.shut
-            || full
-            || self.stale
-            || worker.load.free.is_none_or(|free| free + K < need.min(worker.load.size.max(1.0)));
-        if !closed || !worker.ready {
-            if std::mem::take(&mut worker.waiting) {
-                worker.timer = worker.timer.wrapping_add(1);
-            }
-        } else if can_probe && !worker.waiting && !worker.probing {
-            worker.waiting = true;
-            worker.timer = worker.timer.wrapping_add(1);
-            let timer = worker.timer;
-            // A worker that keeps failing is tried ever more rarely; where many fail at once, it is
-            // something they share, and the fleet must not be given up for it.
-            let doublings = worker.failures.min(if shared { 1.0 } else { MAX_DOUBLINGS });
-            // With hundreds of dispatchers that each see little, probing every closed worker each TAU would
-            // be more work than the jobs.
-            let spread = self.workers.len() as f64 / (PROBES_A_JOB * self.demand.per_s()) * SECOND;
-            let tau = spread.max(TAU as f64);
-            let delay = self.jittered((tau * doublings.exp2()) as Nanos);
-            self.at(self.now + delay, Due::Probe(index, timer));
-        }
+        let pause = (TAU as f64 * worker.backoff_factor(MAX_DOUBLINGS)) as Nanos;
+        let number = worker.probe.schedule_for_job(now, now + pause);
+        self.probe_budget.spend();
+        self.run_probe_timer(index, number, actions);
     }
 
-    pub(super) fn settle_all(&mut self, actions: &mut Vec<Action>) {
-        for index in 0..self.workers.len() {
-            self.settle(index);
-            self.serve(index, actions);
-        }
-    }
-
-    /// What of a worker's report is this dispatcher's.
-    pub(super) fn part(&mut self, index: usize) -> Part {
-        let (dispatchers, random) = (self.settings.dispatchers, self.rng.f64());
-        let worker = self.workers.get(index).and_then(Option::as_ref);
-        let size = worker.map_or(1.0, |w| self.rates.usual_slots(w.entry.kind));
-        if !self.sparse() {
-            return Part::of_few(dispatchers, size, random);
+    /// Sends the scheduled probe, or gives up the one in flight.
+    pub(super) fn run_probe_timer(&mut self, index: usize, number: u32, actions: &mut Vec<Action>) {
+        let Some(worker) = self.workers.get_mut(index) else { return };
+        if !worker.probe.is_current(number) {
+            return;
         }
-        let warm = worker.and_then(|w| self.warm(w));
-        let wanted = self.demand.per_s() * REPORT_AGE as f64 / SECOND / self.ring.len().max(1) as f64;
-        let asked = warm.map_or(1.0, |warm| (warm / self.mean_weight).min(1.0));
-        Part::of_many(dispatchers, size, wanted, asked, warm, self.room.part())
-    }
-
-    pub(super) fn probe(&mut self, index: usize, timer: u32, actions: &mut Vec<Action>) {
-        let Some(worker) = self.workers[index].as_mut().filter(|w| w.timer == timer) else { return };
-        if worker.probing {
+        if worker.probe.is_in_flight() {
             // No answer came, not even a failed one.
-            worker.failed(1.0);
-            worker.probing = false;
-            self.settle(index);
-        } else if std::mem::take(&mut worker.waiting) && !self.told.never(worker.entry.address_hash) {
-            worker.probing = true;
+            worker.record_failure(FailureWeight::Full);
+            worker.probe.lost();
+            self.update_open_state(index);
+        } else if worker.probe.take_scheduled() && !self.active_rules.excludes(worker.entry.address_hash) {
+            worker.probe.sent();
             actions.push(Action::Probe { worker: WorkerId(index as u32) });
-            self.at(self.now + PROBE_LOST, Due::Probe(index, timer));
+            self.timers.start(self.now + PROBE_TIMEOUT, Timer::Probe { worker: index, number });
         }
     }
 
-    pub(super) fn probed(
+    /// Takes in how a probe ended.
+    pub(super) fn complete_probe(
         &mut self,
         id: WorkerId,
         outcome: Outcome,
@@ -137,30 +142,57 @@
         actions: &mut Vec<Action>,
     ) {
         let index = id.0 as usize;
-        let part = self.part(index);
-        let warm = self.workers.get(index).and_then(Option::as_ref).is_some_and(|w| self.warm(w).is_none());
-        let Some(worker) = self.workers.get_mut(index).and_then(Option::as_mut) else { return };
+        let share = self.report_share(index);
+        let is_warm = !self.is_warming_up(index);
+        let Some(worker) = self.workers.get_mut(index) else { return };
         if outcome == Outcome::Ok {
-            report.filter(|_| warm).iter().for_each(|r| self.room.seen(r, worker.load.size.max(part.size)));
-            worker.shut = false;
-            worker.takes_work = Some(self.now);
-            worker.report(self.now, &report.unwrap_or_default(), &part);
+            if let Some(report) = report.filter(|_| is_warm) {
+                let slots = worker.load.known_slots().max(share.typical_slots());
+                self.fleet_free_share.record(&report, slots);
+            }
+            worker.confirm(self.now);
+            worker.apply_report(self.now, &report.unwrap_or_default(), &share);
         } else if outcome != Outcome::NotSent {
-            worker.failed(1.0);
+            worker.record_failure(FailureWeight::Full);
         }
-        worker.probing = false;
-        worker.read = self.now;
-        if worker.load.free.is_some() {
-            self.rates.seen_slots(worker.entry.kind, worker.load.size);
+        worker.probe.ended(self.now);
+        if worker.load.free_slots().is_some() {
+            self.service_rates.record_slots(worker.entry.kind, worker.load.known_slots());
         }
-        self.settle(index);
-        self.serve(index, actions);
-        // What is still held for it looks further.
+        self.update_open_state(index);
+        self.drain_hold_queue(index, actions);
+        self.probe_further_candidates(index, actions);
+    }
+
+    /// Has what is still held for a worker that has been probed look further.
+    fn probe_further_candidates(&mut self, index: usize, actions: &mut Vec<Action>) {
         let mut after = Bound::Unbounded;
-        while let Some((place, id)) = self.held.next(index, after) {
-            after = Bound::Excluded(place);
-            let seek = self.jobs.get(&id).map_or(0, |job| job.seek);
-            self.seek(id, seek, actions);
+        while let Some((position, id)) = self.held.next(index, after) {
+            after = Bound::Excluded(position);
+            let search = self.jobs.get(&id).map_or(0, |job| job.candidate_search);
+            self.probe_next_candidate(id, search, actions);
+        }
+    }
+
+    /// Returns what of a worker's load report is this dispatcher's.
+    pub(super) fn report_share(&mut self, index: usize) -> ReportShare {
+        // Drawn in any case, so that the sequence of draws does not depend on the traffic.
+        let random = self.rng.f64();
+        let dispatchers = self.settings.dispatchers;
+        let worker = self.workers.get(index);
+        let typical_slots = worker.map_or(1.0, |worker| self.service_rates.typical_slots(worker.entry.kind));
+        if !self.has_low_traffic() {
+            return ReportShare::for_high_traffic(dispatchers, typical_slots, random);
         }
+        let slow_start_weight = worker.and_then(|worker| self.slow_start_weight(worker));
+        let relative_demand =
+            slow_start_weight.map_or(1.0, |weight| (weight / self.mean_traffic_weight).min(1.0));
+        let inputs = LowTrafficShare {
+            jobs_per_report: self.jobs_per_report() / self.workers.ready_count().max(1) as f64,
+            relative_demand,
+            slow_start_weight,
+            fleet_free_share: self.fleet_free_share.share(),
+        };
+        ReportShare::for_low_traffic(dispatchers, typical_slots, &inputs)
     }
 }
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -2,119 +2,158 @@
 
 use std::collections::BTreeSet;
 
-use super::{Dispatcher, FRESH, K, K_KEYED, REPORT_AGE};
-use crate::index::{fill, mix};
-use crate::interface::*;
-use crate::meters::{FILL, SLOTS};
-use crate::state::{Job, Worker};
-use crate::SECOND;
-
-/// Workers that a key is kept on: the first by a hash of both, of those that stand next to the key on a ring.
-const HOMES: usize = 4;
-const NEIGHBOURS: usize = 32;
-const AROUND: usize = 128;
-/// Draws of a worker that may be open before all of them are looked at, where there are more than a few.
-const DRAWS: usize = 8;
-const FEW: usize = 64;
-/// A sparse dispatcher's jobs look at this many workers; a key's first ones are as many as its traffic fills.
-const SOUGHT: usize = 5;
-/// And at no more than so many, cold ones included.
-const MOST_SOUGHT: usize = 16;
-/// The weight (in jobs) of the guess that a key is rare.
-const DOUBT: f64 = 20.0;
-/// While the list may be stale, a worker is open for so long (ns) after it said itself that it takes work.
-const WORD: Nanos = REPORT_AGE;
-/// Part of a worker's slots left free for work within its tenant's share.
-const RESERVE: f64 = 0.5;
+use super::{Dispatcher, LOW_TRAFFIC_REPORT_AGE};
+use crate::hash_ring::{mix, shuffle_first};
+use crate::ids::RequestId;
+use crate::job::Job;
+use crate::paper::{K, K_WITH_AFFINITY};
+use crate::settings::Idempotency;
+use crate::slow_start_admission::WarmingSample;
+use crate::time::{Nanos, NANOS_PER_SECOND};
+use crate::traffic::{DEFAULT_SLOTS, TYPICAL_UTILIZATION};
+use crate::worker::Worker;
+use crate::worker_entry::WorkerEntry;
+use crate::worker_load::MAX_REPORT_AGE;
+
+/// Workers that a key has affinity to, where traffic is not low.
+const AFFINITY_WORKERS: usize = 4;
+/// Workers next to a key on the ring from which those are taken, by a hash of both.
+const AFFINITY_NEIGHBOURS: usize = 32;
+/// Workers next to a key on the ring that are ranked where traffic is low.
+const LOW_TRAFFIC_NEIGHBOURS: usize = 128;
+/// Candidates of a job where traffic is low, beside the first ones of a key, which are as many as its traffic
+/// fills. Warming ones do not count: they have capacity for few jobs.
+const CANDIDATES: usize = 5;
+/// The same, warming ones included.
+const MAX_CANDIDATES: usize = 16;
+/// Weight (in requests) of the prior that a key is rare.
+const RARE_KEY_WEIGHT: f64 = 20.0;
+/// Random draws of a worker that may be open before all of them are looked at ...
+const PICK_DRAWS: usize = 8;
+/// ... where there are more than so many. Of thousands most that may be open are, and a few draws find one as
+/// evenly as a draw among all.
+const FEW_WORKERS: usize = 64;
+/// While the list may be stale, a worker is open for so long (ns) after a probe confirmed that it accepts
+/// work.
+const CONFIRMATION_VALIDITY: Nanos = MAX_REPORT_AGE;
+/// Share of a worker's slots left free for work that is in time and within its tenant's quota.
+const RESERVED_SLOT_SHARE: f64 = 0.5;
 
 impl Dispatcher {
-    pub(super) fn may_go_on(&self, job: &Job) -> bool {
-        let effect = self.settings.classes[job.request.class as usize].idempotency;
-        !job.over
-            && !job.streaming
+    /// Returns whether another attempt of the request may be started.
+    pub(super) fn may_be_attempted(&self, job: &Job) -> bool {
+        let max_attempts = self.settings.max_attempts.min(self.active_rules.max_attempts());
+        let may_have_run = job.first_possible_run().is_some();
+        let must_not_repeat = self.class_of(job).idempotency == Idempotency::NonIdempotent;
+        !job.is_finished
+            && !job.is_streaming
             && self.now < job.deadline.min(self.send_by(job))
-            && job.attempts.len() < self.settings.max_attempts.min(self.told.attempts()) as usize
-            && (self.settings.allows_hedging || job.attempts.iter().all(|a| !a.out))
-            && !(effect == Idempotency::NonIdempotent && job.first_ran().is_some())
+            && job.attempts.len() < max_attempts as usize
+            && (self.settings.allows_hedging || !job.has_attempt_in_flight())
+            && !(must_not_repeat && may_have_run)
+    }
+
+    /// Returns until when a further attempt of the request may be written.
+    pub(super) fn send_by(&self, job: &Job) -> Nanos {
+        let Some(first) = job.first_possible_run() else { return Nanos::MAX };
+        self.class_of(job).resend_deadline(first, self.settings.connect_timeout)
     }
 
-    /// Whether a worker is open for the job.
-    pub(super) fn open(&self, index: usize, job: &Job) -> bool {
-        self.covers(index, job) && self.admits(index, job)
+    /// Returns whether a worker is open for the job.
+    pub(super) fn is_open(&self, index: usize, job: &Job) -> bool {
+        self.has_capacity_for(index, job) && self.slow_start_admits(index, job)
     }
 
-    /// The same, whatever it may be sent while it is cold.
-    pub(super) fn covers(&self, index: usize, job: &Job) -> bool {
-        let Some(worker) = &self.workers[index] else { return false };
-        let class = &self.settings.classes[job.request.class as usize];
-        let Some(free) = worker.load.free.filter(|_| worker.ready && !worker.shut) else { return false };
-        // Work that is late already, or over its share, leaves slots for what can still earn in full.
-        let lesser = job.over_share || self.now >= job.patience;
-        let k = match job.request.key {
-            _ if self.sparse() => self.luck(worker, job),
-            Some(_) => K_KEYED,
+    /// Returns whether a worker is open for the job, whatever it may be sent while it is warming up.
+    pub(super) fn has_capacity_for(&self, index: usize, job: &Job) -> bool {
+        let Some(worker) = self.workers.get(index) else { return false };
+        worker.is_ready
+            && !worker.is_ejected()
+            && self.covers_demand(worker, job)
+            && self.is_suitable(worker, job)
+            && (job.candidates.is_empty() || job.candidates.contains(&index))
+            && !self.is_silent(worker)
+            && self.is_confirmed(worker)
+    }
+
+    fn covers_demand(&self, worker: &Worker, job: &Job) -> bool {
+        let Some(free) = worker.load.free_slots() else { return false };
+        let slots = job.request.slots;
+        if free + self.queue_allowance(worker, job) < slots {
+            return false;
+        }
+        // Work that is late already, or over its quota, leaves slots for what can still be answered in time.
+        let has_lesser_claim = job.is_over_quota() || self.now >= job.hold_until;
+        let reserved = RESERVED_SLOT_SHARE * worker.load.known_slots();
+        if has_lesser_claim && free + worker.load.slots_for_others() < slots + reserved {
+            return false;
+        }
+        worker.load.free_memory().is_none_or(|free| free >= job.request.memory)
+    }
+
+    /// Returns the slots that the job may exceed the free ones by: K, or what takes its place.
+    fn queue_allowance(&self, worker: &Worker, job: &Job) -> f64 {
+        if self.has_low_traffic() {
+            return sampling_allowance(worker, job);
+        }
+        match job.request.key {
+            Some(_) => K_WITH_AFFINITY,
             None => K,
-        };
-        free + k >= job.request.slots
-            && (!lesser || free + worker.load.others >= job.request.slots + RESERVE * worker.load.size)
-            && worker.load.memory.is_none_or(|m| m >= job.request.memory)
-            && class.required_kind.is_none_or(|kind| kind == worker.entry.kind)
-            && (job.homes.is_empty() || job.homes.contains(&index))
-            && !self.silent(worker)
-            && self.told.allows(worker.entry.address_hash, job.request.tenant, self.now)
-            && self.in_group(worker, job)
-            && !(self.sparse() && self.now > worker.read + FRESH)
-            && !(self.stale && worker.takes_work.is_none_or(|at| self.now > at + WORD))
+        }
     }
 
-    /// From 0 to 1: what a job finds beside the part of a slot that is left to its dispatcher. The same at
-    /// all for one key and worker, so that a worker sheds whole keys: shed job by job, each key would be
-    /// fetched at two workers, and push others out of both.
-    pub(super) fn luck(&self, worker: &Worker, job: &Job) -> f64 {
-        let drawn = mix(job.request.key.unwrap_or(job.arrived) ^ mix(!worker.entry.address_hash));
-        drawn as f64 / u64::MAX as f64
+    /// Returns whether the worker may run the job at all, by class, rules and earlier attempts.
+    fn is_suitable(&self, worker: &Worker, job: &Job) -> bool {
+        self.class_of(job).required_kind.is_none_or(|kind| kind == worker.entry.kind)
+            && self.active_rules.allows(worker.entry.address_hash, job.request.tenant, self.now)
+            && self.deduplicates_earlier_attempts(worker, job)
     }
 
-    /// A keyed request that may have run goes only where its repeat is dropped: both by what was listed of
-    /// the earlier worker then and by what is now, for either may be the older news.
-    pub(super) fn in_group(&self, worker: &Worker, job: &Job) -> bool {
-        let class = &self.settings.classes[job.request.class as usize];
-        let like = |entry: &WorkerEntry| class.deduplicates(entry, &worker.entry);
-        let now_like = |n: usize| self.workers[n].as_ref().is_some_and(|first| like(&first.entry));
-        job.attempts.iter().filter(|a| a.maybe_ran).all(|a| like(&a.entry) && now_like(a.worker))
+    /// Returns whether the worker's last report is fresh enough to send by.
+    fn is_confirmed(&self, worker: &Worker) -> bool {
+        let report_is_old =
+            self.has_low_traffic() && worker.probe.is_older_than(LOW_TRAFFIC_REPORT_AGE, self.now);
+        let status_is_unknown =
+            self.workers.list_is_stale() && !worker.probe.is_confirmed(CONFIRMATION_VALIDITY, self.now);
+        !report_is_old && !status_is_unknown
     }
 
-    /// Until when a further attempt may be written.
-    pub(super) fn send_by(&self, job: &Job) -> Nanos {
-        let class = &self.settings.classes[job.request.class as usize];
-        job.first_ran()
-            .map_or(Nanos::MAX, |first| class.resend_deadline(first, self.settings.connect_timeout))
+    /// Returns whether the worker drops the repeats of all earlier attempts that may have run. Both the entry
+    /// of the earlier worker at the time of the attempt and its present one count, for either may be out of
+    /// date.
+    pub(super) fn deduplicates_earlier_attempts(&self, worker: &Worker, job: &Job) -> bool {
+        let class = self.class_of(job);
+        let drops_repeats_of = |earlier: &WorkerEntry| class.deduplicates(earlier, &worker.entry);
+        job.attempts.iter().filter(|attempt| attempt.may_have_run).all(|attempt| {
+            let present = self.workers.get(attempt.worker);
+            drops_repeats_of(&attempt.entry)
+                && present.is_some_and(|earlier| drops_repeats_of(&earlier.entry))
+        })
     }
 
-    /// An open worker for the job, at random among those that suit it best.
-    pub(super) fn pick(&mut self, id: RequestId) -> Option<usize> {
+    /// Returns an open worker for the job, at random among those that suit it best.
+    pub(super) fn pick_worker(&mut self, id: RequestId) -> Option<usize> {
         let job = self.jobs.get(&id)?;
-        if !self.may_go_on(job) {
+        if !self.may_be_attempted(job) {
             return None;
         }
-        if self.sparse() {
-            return self.in_turn(id);
+        if self.has_low_traffic() {
+            return self.first_open_candidate(id);
         }
-        if !job.homes.is_empty() {
-            return job.homes.iter().copied().find(|home| self.open(*home, job));
+        if !job.candidates.is_empty() {
+            return job.candidates.iter().copied().find(|index| self.is_open(*index, job));
         }
-        for pool in [&self.near, &self.far] {
-            let members = pool.members();
-            // Of thousands most that may be open are: a few draws find one, as evenly as one among all.
-            let draws = if members.len() > FEW { DRAWS } else { 0 };
+        for set in self.workers.open_sets() {
+            let members = set.members();
+            let draws = if members.len() > FEW_WORKERS { PICK_DRAWS } else { 0 };
             for _ in 0..draws {
                 let drawn = members[self.rng.usize(0..members.len())];
-                if self.open(drawn, job) {
+                if self.is_open(drawn, job) {
                     return Some(drawn);
                 }
             }
             let mut open: Vec<usize> =
-                members.iter().copied().filter(|index| self.open(*index, job)).collect();
+                members.iter().copied().filter(|index| self.is_open(*index, job)).collect();
             if !open.is_empty() {
                 open.sort_unstable();
                 return Some(open[self.rng.usize(0..open.len())]);
@@ -123,69 +162,98 @@
         None
     }
 
-    pub(super) fn homes(&self, key: u64, tenant: Option<u32>) -> Vec<usize> {
-        let hash = |index: usize| self.workers[index].as_ref().map(|w| w.entry.address_hash);
-        let allowed = |index| hash(index).is_some_and(|hash| self.told.allows(hash, tenant, self.now));
-        let mut ranked = self.ring.rank(key, NEIGHBOURS, |index| allowed(index).then_some(1.0));
-        ranked.truncate(HOMES);
+    /// Returns the workers that a key has affinity to, in the order of preference. All dispatchers agree on
+    /// them.
+    pub(super) fn affinity_workers(&self, key: u64, tenant: Option<u32>) -> Vec<usize> {
+        let weight = |index: usize| {
+            let worker = self.workers.get(index)?;
+            let is_allowed = self.active_rules.allows(worker.entry.address_hash, tenant, self.now);
+            is_allowed.then_some(1.0)
+        };
+        let mut ranked = self.workers.ready().rank(key, AFFINITY_NEIGHBOURS, weight);
+        ranked.truncate(AFFINITY_WORKERS);
         ranked
     }
 
-    /// The workers that a sparse dispatcher looks at for a job, in their order: those that its key's traffic
-    /// fills in any order, then the next that rank highest for the key, or for none in particular.
-    pub(super) fn sought(
+    /// Returns the candidates of a job where traffic is low, in the order of preference: those that its key's
+    /// traffic fills, shuffled, then the next that rank highest for the key, or for a random one. Where
+    /// `cell` is given, only its workers are candidates.
+    pub(super) fn candidates(
         &mut self,
         key: Option<u64>,
         class: u32,
         cell: Option<u32>,
         tenant: Option<u32>,
     ) -> Vec<usize> {
-        let share = key.map_or(0.0, |key| self.keys.share(key, DOUBT));
-        let busy = share * self.demand.per_s() * f64::from(self.settings.dispatchers);
-        let need = busy * self.classes[class as usize].run / SECOND / SLOTS / FILL;
-        let inside = |index: usize| {
-            self.workers[index].as_ref().is_some_and(|w| {
-                cell.is_none_or(|cell| w.entry.cell == cell)
-                    && self.told.allows(w.entry.address_hash, tenant, self.now)
-            })
-        };
+        let required_weight = self.workers_filled_by(key, class);
         let key = key.unwrap_or_else(|| self.rng.u64(..));
-        let weight = |n: usize| self.workers[n].as_ref().filter(|_| inside(n)).map(|w| self.weight(w));
-        let mut ranked = self.ring.rank(key, AROUND, weight);
-        let weights: Vec<f64> = ranked.iter().filter_map(|n| weight(*n)).collect();
-        let is_cold = |n: &usize| self.workers[*n].as_ref().is_some_and(|w| self.warm(w).is_some());
-        let cold: BTreeSet<usize> = ranked.iter().copied().filter(is_cold).collect();
-        let cold_weight: f64 = cold.iter().filter_map(|n| weight(*n)).sum();
-        let (all, seen) = (weights.iter().sum::<f64>(), ranked.len().max(1) as f64);
+        let mut ranked = self.rank_candidates(key, cell, tenant);
+        let weights: Vec<f64> = ranked.iter().filter_map(|index| self.traffic_weight(*index)).collect();
+        let warming: BTreeSet<usize> =
+            ranked.iter().copied().filter(|index| self.is_warming_up(*index)).collect();
+        let warming_weight: f64 = warming.iter().filter_map(|index| self.traffic_weight(*index)).sum();
+        let (total_weight, ranked_count) = (weights.iter().sum::<f64>(), ranked.len().max(1) as f64);
         if cell.is_none() {
-            self.cold_admission.weigh(cold_weight, all, self.ring.len() as f64 / seen, SOUGHT);
+            let scale = self.workers.ready_count() as f64 / ranked_count;
+            let sample = WarmingSample { warming_weight, total_weight, scale, candidates: CANDIDATES };
+            self.slow_start_admission.update(&sample);
         }
-        self.mean_weight = all / seen;
-        let first = fill(&mut ranked, &weights, need, || self.rng.f64());
-        // Cold ones have room for few: there are as many others as if there were none.
-        let mut others = 0;
-        ranked.retain(|n| {
-            others += usize::from(!cold.contains(n));
-            others < first + SOUGHT
+        self.mean_traffic_weight = total_weight / ranked_count;
+        let first = shuffle_first(&mut ranked, &weights, required_weight, || self.rng.f64());
+        // Warming workers have capacity for few jobs: there are as many others as if there were none.
+        let mut warm_count = 0;
+        ranked.retain(|index| {
+            warm_count += usize::from(!warming.contains(index));
+            warm_count < first + CANDIDATES
         });
-        ranked.truncate(first + MOST_SOUGHT);
+        ranked.truncate(first + MAX_CANDIDATES);
         ranked
     }
 
-    /// A sparse dispatcher's first open candidate. Those before it are heard first: sent past one, a key
-    /// would be fetched at one more worker.
-    pub(super) fn in_turn(&mut self, id: RequestId) -> Option<usize> {
-        for place in 0.. {
-            let index = *self.jobs.get(&id)?.homes.get(place)?;
-            self.draw_cold(index, id);
+    /// Returns how many usual workers the traffic of a key fills, over all dispatchers.
+    fn workers_filled_by(&self, key: Option<u64>, class: u32) -> f64 {
+        let share = key.map_or(0.0, |key| self.key_frequency.share(key, RARE_KEY_WEIGHT));
+        let jobs_per_s = share * self.arrival_rate.per_s() * f64::from(self.settings.dispatchers);
+        let mean_run = self.classes[class as usize].mean_run();
+        jobs_per_s * mean_run / NANOS_PER_SECOND / DEFAULT_SLOTS / TYPICAL_UTILIZATION
+    }
+
+    fn rank_candidates(&self, key: u64, cell: Option<u32>, tenant: Option<u32>) -> Vec<usize> {
+        let weight = |index: usize| {
+            let entry = &self.workers.get(index)?.entry;
+            let is_in_cell = cell.is_none_or(|cell| entry.cell == cell);
+            if !is_in_cell || !self.active_rules.allows(entry.address_hash, tenant, self.now) {
+                return None;
+            }
+            self.traffic_weight(index)
+        };
+        self.workers.ready().rank(key, LOW_TRAFFIC_NEIGHBOURS, weight)
+    }
+
+    /// Returns the job's first open candidate. Those before it are probed first: sent past one, a key would
+    /// be fetched at one more worker.
+    pub(super) fn first_open_candidate(&mut self, id: RequestId) -> Option<usize> {
+        for position in 0.. {
+            let index = *self.jobs.get(&id)?.candidates.get(position)?;
+            self.draw_slow_start(index, id);
             let job = self.jobs.get(&id)?;
-            if self.open(index, job) {
+            if self.is_open(index, job) {
                 return Some(index);
             }
-            if self.unheard_of(index, job) {
+            if self.awaits_report(index, job) {
                 return None;
             }
         }
         None
     }
 }
+
+/// Returns a number from 0 to 1: what a job finds beside the fraction of a slot that is left to its
+/// dispatcher.
+///
+/// It is the same at all dispatchers for one key and worker, so that a worker sheds whole keys: shed job by
+/// job, each key would be fetched at two workers, and push others out of both.
+fn sampling_allowance(worker: &Worker, job: &Job) -> f64 {
+    let drawn = mix(job.request.key.unwrap_or(job.arrival) ^ mix(!worker.entry.address_hash));
+    drawn as f64 / u64::MAX as f64
+}
--- /dev/null
+++ b/crates/dispatcher/src/key_frequency.rs
@@ -0,0 +1,48 @@
+//! How often each key occurs in the recent traffic.
+
+use std::collections::BTreeMap;
+
+/// Counts of recent keys. It remembers about as many requests as its capacity, and at most twice as many
+/// keys.
+pub struct KeyFrequency {
+    counts: BTreeMap<u64, f64>,
+    total: f64,
+    capacity: f64,
+}
+
+impl KeyFrequency {
+    /// Creates an empty count that remembers about `capacity` requests.
+    pub fn new(capacity: f64) -> Self {
+        KeyFrequency { counts: BTreeMap::new(), total: 0.0, capacity }
+    }
+
+    /// Counts a key once more. When the capacity is reached all counts are halved, and small ones forgotten.
+    pub fn add(&mut self, key: u64) {
+        *self.counts.entry(key).or_default() += 1.0;
+        self.total += 1.0;
+        if self.total >= self.capacity {
+            self.counts.retain(|_, count| {
+                *count /= 2.0;
+                *count >= 0.5
+            });
+            self.total = self.counts.values().sum();
+        }
+    }
+
+    /// Returns the number of remembered keys.
+    pub fn len(&self) -> usize {
+        self.counts.len()
+    }
+
+    /// Returns whether no key is remembered.
+    pub fn is_empty(&self) -> bool {
+        self.counts.is_empty()
+    }
+
+    /// Returns a key's share of the remembered requests. It is an underestimate where little has been seen:
+    /// the prior that a key is rare weighs `prior_weight` requests.
+    pub fn share(&self, key: u64, prior_weight: f64) -> f64 {
+        let count = self.counts.get(&key).copied().unwrap_or(0.0);
+        (count - 1.0).max(0.0) / (self.total + prior_weight)
+    }
+}
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,4 +1,6 @@
-//! The decisions of a dispatcher that sits beside a submitter and pushes jobs to workers.
+//! Dispatch decisions: which worker a request is sent to, and when it is retried, hedged or rejected.
+//!
+//! A dispatcher sits beside a submitter and pushes jobs to workers.
 //!
 //! The library does no I/O, keeps no clock and shares nothing: the caller hands events with their time to
 //! [`Dispatcher::handle`] and carries out the actions that come back. The same events and seed always give
@@ -82,23 +84,39 @@
 //! assert!(matches!(actions[0], Action::Send { worker: WorkerId(0), .. }));
 //! # Ok::<(), nickelflow_dispatcher::SettingsError>(())
 //! ```
-// Left over: not yet documented and split (see DEVELOPERS.md, "Lints").
-#![allow(missing_docs, clippy::missing_errors_doc, clippy::too_many_lines, clippy::type_complexity)]
 
-pub mod cold_start;
+mod action;
+mod active_rules;
 mod dispatcher;
-pub mod index;
-mod interface;
-mod load;
-pub mod meters;
+mod event;
+pub mod hash_ring;
+mod health_signals;
+mod held_requests;
+pub mod hold_queue;
+mod ids;
+pub mod index_set;
+mod job;
+pub mod key_frequency;
+mod paper;
+mod probe_budget;
+mod rules;
 pub mod service_rate;
-mod state;
-mod told;
+mod settings;
+pub mod slow_start;
+pub mod slow_start_admission;
+mod time;
+pub mod timers;
+pub mod traffic;
+mod worker;
+mod worker_entry;
+mod worker_load;
+mod worker_table;
 
+pub use action::Action;
 pub use dispatcher::Dispatcher;
-pub use interface::*;
-
-/// Nanoseconds in a millisecond.
-const MS: Nanos = 1_000_000;
-/// Nanoseconds in a second.
-const SECOND: f64 = 1e9;
+pub use event::{Event, ListKind, LoadReport, Outcome, Request};
+pub use ids::{RequestId, WorkerId};
+pub use rules::{DegradedRules, Rules, WorkerRestriction};
+pub use settings::{Class, DeduplicationScope, Idempotency, ServiceLimits, Settings, SettingsError, Tenant};
+pub use time::Nanos;
+pub use worker_entry::{WorkerEntry, WorkerStatus};
--- /dev/null
+++ b/crates/dispatcher/src/time.rs
@@ -0,0 +1,12 @@
+//! Time as this crate counts it: unsigned nanoseconds of the caller's clock.
+
+/// A moment of the caller's clock, or a length of time, in nanoseconds.
+///
+/// The clock may start anywhere and never runs backwards.
+pub type Nanos = u64;
+
+/// Nanoseconds in a millisecond.
+pub(crate) const MILLISECOND: Nanos = 1_000_000;
+
+/// Nanoseconds in a second, for conversions to and from seconds.
+pub(crate) const NANOS_PER_SECOND: f64 = 1e9;
--- /dev/null
+++ b/crates/dispatcher/src/worker.rs
@@ -0,0 +1,265 @@
+//! What a dispatcher knows of one worker.
+
+use crate::event::LoadReport;
+use crate::health_signals::HealthSignals;
+use crate::paper::{K, K_WITH_AFFINITY};
+use crate::slow_start::TokenBucket;
+use crate::slow_start_admission::RequestFrequency;
+use crate::time::Nanos;
+use crate::worker_entry::WorkerEntry;
+use crate::worker_load::{ReportShare, WorkerLoad};
+
+/// Failures double the wait for the next probe, up to this many times.
+pub(crate) const MAX_DOUBLINGS: f64 = 6.0;
+/// A success takes this share off a worker's count of failures.
+const SUCCESS_DECAY: f64 = 0.2;
+
+/// How much a failure counts.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum FailureWeight {
+    /// The worker is at fault.
+    Full,
+    /// Something that also happens to healthy workers, one attempt at a time: a rejection or a broken
+    /// connection. Whether the worker is at fault, its probe tells.
+    Minor,
+}
+
+impl FailureWeight {
+    fn count(self) -> f64 {
+        match self {
+            FailureWeight::Full => 1.0,
+            FailureWeight::Minor => 0.2,
+        }
+    }
+}
+
+/// A worker's probes: the timer that leads to the next, whether one is in flight, and what the last one said.
+pub(crate) struct ProbeState {
+    /// Number of the timer; timers of earlier numbers are void.
+    timer_number: u32,
+    is_scheduled: bool,
+    is_in_flight: bool,
+    /// When a job had the worker probed.
+    requested_at: Nanos,
+    /// When a job may have the worker probed again.
+    next_request_at: Nanos,
+    /// When a probe last ended.
+    last_ended_at: Nanos,
+    /// When a probe last confirmed that the worker accepts work.
+    confirmed_at: Option<Nanos>,
+}
+
+impl ProbeState {
+    fn new(timer_number: u32) -> Self {
+        ProbeState {
+            timer_number,
+            is_scheduled: false,
+            is_in_flight: false,
+            requested_at: 0,
+            next_request_at: 0,
+            last_ended_at: 0,
+            confirmed_at: None,
+        }
+    }
+
+    /// Returns the number that the timers of the worker's next entry begin with.
+    pub(crate) fn next_timer_number(&self) -> u32 {
+        self.timer_number.wrapping_add(1)
+    }
+
+    /// Returns whether a timer is the one that leads to the next probe.
+    pub(crate) fn is_current(&self, timer_number: u32) -> bool {
+        self.timer_number == timer_number
+    }
+
+    /// Returns whether a probe is in flight.
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.is_in_flight
+    }
+
+    /// Returns whether neither a probe is in flight nor a timer leads to one.
+    pub(crate) fn is_idle(&self) -> bool {
+        !self.is_scheduled && !self.is_in_flight
+    }
+
+    /// Schedules the first probe, and returns the number of its timer.
+    pub(crate) fn schedule_first(&mut self) -> u32 {
+        self.is_scheduled = true;
+        self.timer_number
+    }
+
+    /// Schedules a probe, and returns the number of its timer.
+    pub(crate) fn schedule(&mut self) -> u32 {
+        self.is_scheduled = true;
+        self.timer_number = self.timer_number.wrapping_add(1);
+        self.timer_number
+    }
+
+    /// Schedules a probe for a job; no other job has one sent before `next_request_at`.
+    pub(crate) fn schedule_for_job(&mut self, now: Nanos, next_request_at: Nanos) -> u32 {
+        self.requested_at = now;
+        self.next_request_at = next_request_at;
+        self.schedule()
+    }
+
+    /// Cancels the scheduled probe.
+    pub(crate) fn cancel(&mut self) {
+        if self.take_scheduled() {
+            self.timer_number = self.timer_number.wrapping_add(1);
+        }
+    }
+
+    /// Removes the schedule of a probe whose time has come, and returns whether there was one.
+    pub(crate) fn take_scheduled(&mut self) -> bool {
+        std::mem::take(&mut self.is_scheduled)
+    }
+
+    /// Notes that a probe was sent.
+    pub(crate) fn sent(&mut self) {
+        self.is_in_flight = true;
+    }
+
+    /// Notes that the probe in flight was given up.
+    pub(crate) fn lost(&mut self) {
+        self.is_in_flight = false;
+    }
+
+    /// Notes that a probe ended.
+    pub(crate) fn ended(&mut self, now: Nanos) {
+        self.is_in_flight = false;
+        self.last_ended_at = now;
+    }
+
+    /// Notes that a probe confirmed that the worker accepts work.
+    pub(crate) fn confirmed(&mut self, now: Nanos) {
+        self.confirmed_at = Some(now);
+    }
+
+    /// Returns whether the last probe ended longer ago than `max_age` (ns).
+    pub(crate) fn is_older_than(&self, max_age: Nanos, now: Nanos) -> bool {
+        now > self.last_ended_at + max_age
+    }
+
+    /// Returns whether a probe confirmed within the last `max_age` (ns) that the worker accepts work.
+    pub(crate) fn is_confirmed(&self, max_age: Nanos, now: Nanos) -> bool {
+        self.confirmed_at.is_some_and(|at| now <= at + max_age)
+    }
+
+    /// Returns whether a job may have the worker probed, or has and may still wait for the answer, which it
+    /// does for `max_wait` (ns).
+    pub(crate) fn may_answer_job(&self, max_wait: Nanos, now: Nanos) -> bool {
+        if self.is_in_flight {
+            now < self.requested_at + max_wait
+        } else {
+            now >= self.next_request_at
+        }
+    }
+}
+
+/// A worker that has been listed.
+pub(crate) struct Worker {
+    /// The worker's last entry on the list.
+    pub(crate) entry: WorkerEntry,
+    /// Whether it is on the list and not draining.
+    pub(crate) is_ready: bool,
+    /// When the worker was first listed, or restarted: what was sent before is void.
+    pub(crate) valid_since: Nanos,
+    /// The last load report.
+    pub(crate) last_report: Option<LoadReport>,
+    /// The worker's load, own sends included.
+    pub(crate) load: WorkerLoad,
+    /// The worker's signs of life.
+    pub(crate) health: HealthSignals,
+    /// The worker's probes.
+    pub(crate) probe: ProbeState,
+    /// What this dispatcher may send the worker while it is warming up.
+    pub(crate) bucket: TokenBucket,
+    /// How often jobs asked for the worker while it was warming up.
+    pub(crate) slow_start_requests: RequestFrequency,
+    /// Whether a failure keeps the worker closed until its next probe.
+    is_ejected: bool,
+    failures: f64,
+}
+
+impl Worker {
+    /// Creates a worker of which nothing is known yet; it is not ready.
+    pub(crate) fn new(entry: WorkerEntry, bucket: TokenBucket, timer_number: u32, now: Nanos) -> Self {
+        Worker {
+            entry,
+            is_ready: false,
+            valid_since: now,
+            last_report: None,
+            load: WorkerLoad::default(),
+            health: HealthSignals::default(),
+            probe: ProbeState::new(timer_number),
+            bucket,
+            slow_start_requests: RequestFrequency::default(),
+            is_ejected: false,
+            failures: 0.0,
+        }
+    }
+
+    /// Returns whether a failure keeps the worker closed until its next probe.
+    pub(crate) fn is_ejected(&self) -> bool {
+        self.is_ejected
+    }
+
+    /// Returns whether the worker counts as failing.
+    pub(crate) fn is_failing(&self) -> bool {
+        self.failures >= 1.0
+    }
+
+    /// Returns whether the worker has failed more than once.
+    pub(crate) fn fails_repeatedly(&self) -> bool {
+        self.failures > 1.0
+    }
+
+    /// Returns by how much its failures lengthen the wait for the next probe, by doublings up to a number.
+    pub(crate) fn backoff_factor(&self, max_doublings: f64) -> f64 {
+        self.failures.min(max_doublings).exp2()
+    }
+
+    /// Returns whether the worker may be open for some job.
+    pub(crate) fn may_be_open(&self) -> bool {
+        let free = self.load.free_slots();
+        self.is_ready && !self.is_ejected && free.is_some_and(|free| free + K_WITH_AFFINITY > 0.0)
+    }
+
+    /// Returns whether the worker is closed to a job that takes so many slots and so much memory.
+    pub(crate) fn is_closed_to(&self, slots: f64, memory: f64) -> bool {
+        // One without memory takes next to nothing: left open for its slots, it would never be probed again.
+        let lacks_memory =
+            self.load.free_memory().is_some_and(|free| free < memory.min(self.load.max_free_memory()));
+        let needed = slots.min(self.load.known_slots().max(1.0));
+        self.is_ejected || lacks_memory || self.load.free_slots().is_none_or(|free| free + K < needed)
+    }
+
+    /// Ejects the worker for a failure. Attempts that fail together fail for one cause: while the worker is
+    /// ejected only failed probes count further.
+    pub(crate) fn record_failure(&mut self, weight: FailureWeight) {
+        if !self.is_ejected || self.probe.is_in_flight() {
+            self.failures = (self.failures + weight.count()).min(MAX_DOUBLINGS + 1.0);
+        }
+        self.is_ejected = true;
+    }
+
+    /// Takes a success off the count of failures.
+    pub(crate) fn record_success(&mut self) {
+        self.failures *= 1.0 - SUCCESS_DECAY;
+    }
+
+    /// Ends the ejection: a probe confirmed that the worker accepts work.
+    pub(crate) fn confirm(&mut self, now: Nanos) {
+        self.is_ejected = false;
+        self.probe.confirmed(now);
+    }
+
+    /// Takes in a load report, of which `share` is this dispatcher's.
+    pub(crate) fn apply_report(&mut self, now: Nanos, report: &LoadReport, share: &ReportShare) {
+        self.last_report = Some(*report);
+        self.load.apply_report(now, report, share);
+        if report.shows_fault() {
+            self.record_failure(FailureWeight::Full);
+        }
+    }
+}
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -1,14 +1,17 @@
-//! A dispatcher with hands: feeds events, carries actions out by noting them.
+//! A harness that feeds events to a dispatcher and records its actions.
 #![allow(dead_code)]
 
 use nickelflow_dispatcher::*;
 
+/// Nanoseconds in a millisecond.
 pub const MS: Nanos = 1_000_000;
+/// Nanoseconds in a second.
 pub const S: Nanos = 1_000 * MS;
 
-pub fn class(effect: Idempotency) -> Class {
+/// Returns a class with a latency objective of 0.1 s.
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
-        idempotency: effect,
+        idempotency,
         deduplication_window: 10 * S,
         latency_objective: 100 * MS,
         latency_stretch: 2.0,
@@ -19,6 +22,7 @@
     }
 }
 
+/// Returns the settings of a single dispatcher.
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         dispatchers: 1,
@@ -47,6 +51,7 @@
     }
 }
 
+/// Returns the entry of a ready worker that started long ago.
 pub fn entry(worker: u32) -> WorkerEntry {
     WorkerEntry {
         worker: WorkerId(worker),
@@ -60,6 +65,7 @@
     }
 }
 
+/// Returns a request of one slot.
 pub fn request(id: u64) -> Request {
     Request {
         id: RequestId(id),
@@ -80,42 +86,47 @@
     mean * (normal * spread.sqrt() - spread / 2.0).exp()
 }
 
+/// Returns a load report of an empty queue and so many free slots.
 pub fn free(slots: f64) -> LoadReport {
     LoadReport { free_slots: Some(slots), ..LoadReport::default() }
 }
 
-pub struct Bench {
+/// A dispatcher with a clock, whose actions are recorded.
+pub struct Harness {
     pub dispatcher: Dispatcher,
     pub now: Nanos,
-    /// What came out since it was last taken, wakes apart.
+    /// The actions since they were last taken, wake-ups apart.
     pub actions: Vec<Action>,
     wakes: Vec<Nanos>,
     /// What a probed worker answers; `None` leaves probes unanswered.
     pub report: Option<LoadReport>,
 }
 
-impl Bench {
-    pub fn new(settings: Settings) -> Bench {
-        Bench::seeded(settings, 1)
+impl Harness {
+    /// Creates a harness without workers.
+    pub fn new(settings: Settings) -> Harness {
+        Harness::with_seed(settings, 1)
     }
 
-    pub fn seeded(settings: Settings, seed: u64) -> Bench {
+    /// Creates a harness without workers, whose random choices follow from a seed.
+    pub fn with_seed(settings: Settings, seed: u64) -> Harness {
         let dispatcher = Dispatcher::new(settings, seed).expect("settings work");
-        Bench { dispatcher, now: S, actions: vec![], wakes: vec![], report: None }
+        Harness { dispatcher, now: S, actions: vec![], wakes: vec![], report: None }
     }
 
-    /// A bench whose workers have been probed and opened with so many free slots each.
-    pub fn open(settings: Settings, workers: Vec<WorkerEntry>, slots: f64) -> Bench {
-        let mut bench = Bench::new(settings);
-        bench.report = Some(free(slots));
-        bench.workers(ListKind::Complete, workers);
-        bench.pass(100 * MS);
-        bench.report = None;
-        bench.actions.clear();
-        bench
+    /// Creates a harness whose workers have been probed and opened with so many free slots each.
+    pub fn with_open_workers(settings: Settings, workers: Vec<WorkerEntry>, slots: f64) -> Harness {
+        let mut harness = Harness::new(settings);
+        harness.report = Some(free(slots));
+        harness.apply_list(ListKind::Complete, workers);
+        harness.advance(100 * MS);
+        harness.report = None;
+        harness.actions.clear();
+        harness
     }
 
-    pub fn event(&mut self, event: Event) {
+    /// Feeds an event, and answers the probes that follow.
+    pub fn handle(&mut self, event: Event) {
         let mut out = vec![];
         self.dispatcher.handle(self.now, event, &mut out);
         let mut probed = vec![];
@@ -131,32 +142,35 @@
         }
         if let Some(report) = self.report {
             for worker in probed {
-                self.event(Event::ProbeCompleted { worker, outcome: Outcome::Ok, report: Some(report) });
+                self.handle(Event::ProbeCompleted { worker, outcome: Outcome::Ok, report: Some(report) });
             }
         }
     }
 
-    /// Lets time pass, with the wakes that were asked for.
-    pub fn pass(&mut self, time: Nanos) {
+    /// Lets time pass, with the wake-ups that were requested.
+    pub fn advance(&mut self, time: Nanos) {
         let until = self.now + time;
         while let Some(at) = self.wakes.iter().copied().filter(|at| *at <= until).min() {
             self.wakes.retain(|w| *w > at);
             self.now = self.now.max(at);
-            self.event(Event::Wake);
+            self.handle(Event::Wake);
         }
         self.now = until;
     }
 
-    pub fn workers(&mut self, kind: ListKind, entries: Vec<WorkerEntry>) {
-        self.event(Event::WorkerList { kind, entries });
+    /// Feeds a list of workers.
+    pub fn apply_list(&mut self, kind: ListKind, entries: Vec<WorkerEntry>) {
+        self.handle(Event::WorkerList { kind, entries });
     }
 
-    pub fn ask(&mut self, id: u64) {
-        self.event(Event::Request(request(id)));
+    /// Feeds a request.
+    pub fn submit(&mut self, id: u64) {
+        self.handle(Event::Request(request(id)));
     }
 
-    pub fn outcome(&mut self, id: u64, attempt: u32, outcome: Outcome) {
-        self.event(Event::AttemptEnded {
+    /// Feeds the end of an attempt.
+    pub fn end_attempt(&mut self, id: u64, attempt: u32, outcome: Outcome) {
+        self.handle(Event::AttemptEnded {
             request: RequestId(id),
             attempt,
             outcome,
@@ -165,12 +179,13 @@
         });
     }
 
-    pub fn take(&mut self) -> Vec<Action> {
+    /// Returns and forgets the recorded actions.
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Workers that a request was sent to, in order.
-    pub fn sends(&self, id: u64) -> Vec<u32> {
+    /// Returns the workers that a request was sent to, in order.
+    pub fn workers_tried(&self, id: u64) -> Vec<u32> {
         let sends = self.actions.iter().filter_map(|a| match a {
             Action::Send { request, worker, .. } if request.0 == id => Some(worker.0),
             _ => None,
@@ -178,15 +193,30 @@
         sends.collect()
     }
 
-    pub fn refused(&self, id: u64) -> bool {
+    /// Returns whether a request was rejected.
+    pub fn was_rejected(&self, id: u64) -> bool {
         self.actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if request.0 == id))
     }
 
-    pub fn failed(&self, id: u64) -> bool {
+    /// Returns whether a request failed.
+    pub fn has_failed(&self, id: u64) -> bool {
         self.actions.iter().any(|a| matches!(a, Action::Fail { request } if request.0 == id))
     }
 
-    pub fn probes(&self, worker: u32) -> usize {
+    /// Returns how many probes a worker was sent.
+    pub fn probe_count(&self, worker: u32) -> usize {
         self.actions.iter().filter(|a| **a == Action::Probe { worker: WorkerId(worker) }).count()
     }
 }
+
+/// Returns one of a hundred dispatchers, which get 400 requests a second between them.
+pub fn one_of_a_hundred(seed: u64) -> Harness {
+    let tenants = vec![Tenant { quota_per_s: 560.0 }];
+    let settings = Settings { dispatchers: 100, tenants, ..settings(vec![class(Idempotency::Idempotent)]) };
+    Harness::with_seed(settings, seed)
+}
+
+/// Returns the arrival of a request with a key.
+pub fn keyed(id: u64, key: u64) -> Event {
+    Event::Request(Request { key: Some(key), ..request(id) })
+}
--- a/crates/dispatcher/tests/shares.rs
+++ b/crates/dispatcher/tests/quotas.rs
@@ -1,17 +1,17 @@
-//! Which of its traffic a dispatcher takes to be within its tenant's share.
+//! Which of its traffic a dispatcher takes to be within its tenants' quotas.
 
-use nickelflow_dispatcher::meters::*;
+use nickelflow_dispatcher::traffic::*;
 use nickelflow_dispatcher::*;
 
 const SECOND: f64 = 1e9;
-/// Quota over use of the middle tenant.
+/// Quota over use of the median tenant.
 const MARGIN: f64 = 1.4;
 
-/// The part of a tenant's requests that counts as over its share at one of a hundred dispatchers, where it
-/// sends so many times its quota and the others what is usual.
-fn over(times: f64) -> f64 {
+/// Returns the share of a tenant's requests that counts as over its quota at one of a hundred dispatchers, where it
+/// sends `factor` times its usual traffic and the others what is usual.
+fn over_quota_share(factor: f64) -> f64 {
     let quotas = [165.0, 136.0, 129.0, 129.0, 101.0, 57.0];
-    let contract = ServiceLimits {
+    let limits = ServiceLimits {
         slow_start_initial_share: 0.2,
         slow_start_duration: 0,
         overload_multiple: 3.0,
@@ -23,7 +23,7 @@
         zone: 0,
         classes: vec![],
         tenants: quotas.map(|quota_per_s| Tenant { quota_per_s }).to_vec(),
-        limits: contract,
+        limits,
         requires_subscription: false,
         can_probe: true,
         reports_registered_size: true,
@@ -40,7 +40,7 @@
     let (mut all, mut flagged) = (0.0, 0.0);
     for seed in 0..20 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut shares = Shares::new(&settings);
+        let mut quotas_used = Quotas::new(&settings);
         let rates = quotas.map(|quota| quota / 100.0 / MARGIN);
         let mut next = rates.map(|rate| -(1.0 - rng.f64()).ln() / rate);
         loop {
@@ -49,12 +49,12 @@
             if at > 60.0 {
                 break;
             }
-            let over = shares.over(Some(tenant as u32), 1 + (at * SECOND) as Nanos);
+            let quota_use = quotas_used.charge(Some(tenant as u32), 1 + (at * SECOND) as Nanos);
             if tenant == 5 {
                 all += 1.0;
-                flagged += f64::from(u8::from(over));
+                flagged += f64::from(u8::from(quota_use == QuotaUse::OverQuota));
             }
-            let rate = rates[tenant] * if tenant == 5 { times } else { 1.0 };
+            let rate = rates[tenant] * if tenant == 5 { factor } else { 1.0 };
             next[tenant] += -(1.0 - rng.f64()).ln() / rate;
         }
     }
@@ -62,7 +62,9 @@
 }
 
 #[test]
-fn chance_does_not_put_a_small_tenant_over_its_share_and_a_surge_does() {
-    assert!(over(1.0) < 0.05, "{} of what is within the quota is over the share", over(1.0));
-    assert!(over(6.0) > 0.5, "{} of a surge is over the share", over(6.0));
+fn chance_does_not_put_a_small_tenant_over_its_quota_and_a_surge_does() {
+    let usual = over_quota_share(1.0);
+    assert!(usual < 0.05, "{usual} of what is within the quota counts as over it");
+    let surge = over_quota_share(6.0);
+    assert!(surge > 0.5, "{surge} of a surge counts as over the quota");
 }
