--- a/crates/chaos/src/scale_file.rs
+++ b/crates/chaos/src/scale_file.rs
@@ -73,68 +73,68 @@
 
     /// Reads a file, or says all that is wrong with it.
     pub fn parse(text: &str) -> Result<Scale, Vec<DocumentError>> {
-        let mut reader = TomlReader::new(text)?;
-        let scale = reader.table("", &FIELDS, |file| {
-            let sizes = file.named("sizes", MOST_SIZES, |size| {
-                size.only(&["workers"]);
-                let workers = size.whole("workers", 1, MOST_WORKERS);
+        let mut reader = TomlReader::parse(text)?;
+        let scale = reader.read_root("", &FIELDS, |file| {
+            let sizes = file.tables_by_name("sizes", MOST_SIZES, |size| {
+                size.deny_unknown(&["workers"]);
+                let workers = size.integer("workers", 1, MOST_WORKERS);
                 if workers.is_none() {
-                    size.fault("workers", MISSING);
+                    size.report("workers", MISSING);
                 }
                 workers.unwrap_or(1) as u32
             });
             if sizes.is_empty() {
-                file.fault("sizes", "must have one size at least");
+                file.report("sizes", "must have one size at least");
             }
             let mut workers: Vec<u32> = sizes.into_values().collect();
             workers.sort_unstable();
             workers.dedup();
             let must = |field: &str, found: Option<f64>| {
                 if found.is_none() {
-                    file.fault(field, MISSING);
+                    file.report(field, MISSING);
                 }
                 found.unwrap_or(1.0)
             };
-            let whole = |field: &str, most: u64| file.whole(field, 1, most).map(|x| x as f64);
+            let whole = |field: &str, most: u64| file.integer(field, 1, most).map(|x| x as f64);
             let scale = Scale {
-                name: file.text("name").unwrap_or_default(),
+                name: file.string("name").unwrap_or_default(),
                 workers,
                 balancers: must("balancers", whole("balancers", 10_000)) as u32,
                 schedulers: whole("schedulers", MOST_SCHEDULERS).unwrap_or(1.0) as u32,
-                jobs_per_s: must("jobs_per_s", file.figure("jobs_per_s", 0.0, 20_000.0)),
-                quota_per_s: must("quota_per_s", file.figure("quota_per_s", 0.1, 100_000.0)),
-                changes_per_s: file.figure("changes_per_s", 0.0, 50.0).unwrap_or(0.0),
+                jobs_per_s: must("jobs_per_s", file.float("jobs_per_s", 0.0, 20_000.0)),
+                quota_per_s: must("quota_per_s", file.float("quota_per_s", 0.1, 100_000.0)),
+                changes_per_s: file.float("changes_per_s", 0.0, 50.0).unwrap_or(0.0),
                 tenants: whole("tenants", 1_000).unwrap_or(1.0) as u32,
-                warmup_s: file.figure("warmup_s", 0.5, 60.0).unwrap_or(1.0),
-                seconds: must("seconds", file.figure("seconds", 0.5, 600.0)),
-                idle_s: file.figure("idle_s", 0.5, 60.0).unwrap_or(5.0),
+                warmup_s: file.float("warmup_s", 0.5, 60.0).unwrap_or(1.0),
+                seconds: must("seconds", file.float("seconds", 0.5, 600.0)),
+                idle_s: file.float("idle_s", 0.5, 60.0).unwrap_or(5.0),
                 repeats: whole("repeats", 20).unwrap_or(1.0) as u32,
-                limits: file.inner("limits", |limits| {
-                    limits.only(&["workers", "cpu_percent", "memory_mb", "control_bytes_per_s"]);
+                limits: file.table("limits", |limits| {
+                    limits.deny_unknown(&["workers", "cpu_percent", "memory_mb", "control_bytes_per_s"]);
                     Limits {
-                        workers: limits.whole("workers", 1, 1_000_000).map(|workers| workers as u32),
-                        cpu_percent: limits.figure("cpu_percent", 0.01, 1e4),
-                        memory_mb: limits.figure("memory_mb", 0.1, 1e6),
-                        control_bytes_per_s: limits.figure("control_bytes_per_s", 1.0, 1e9),
+                        workers: limits.integer("workers", 1, 1_000_000).map(|workers| workers as u32),
+                        cpu_percent: limits.float("cpu_percent", 0.01, 1e4),
+                        memory_mb: limits.float("memory_mb", 0.1, 1e6),
+                        control_bytes_per_s: limits.float("control_bytes_per_s", 1.0, 1e9),
                     }
                 }),
             };
             if scale.name.is_empty() {
-                file.fault("name", MISSING);
+                file.report("name", MISSING);
             }
             let largest = scale.workers.last().copied().unwrap_or(0);
             if largest * scale.schedulers > MOST_SOCKETS {
-                file.fault("schedulers", &format!("times the workers must be {MOST_SOCKETS} at most"));
+                file.report("schedulers", &format!("times the workers must be {MOST_SOCKETS} at most"));
             }
             if scale.schedulers > scale.balancers {
-                file.fault("schedulers", "must not be more than the balancers");
+                file.report("schedulers", "must not be more than the balancers");
             }
             if scale.share() > 2_000.0 {
-                file.fault("jobs_per_s", "must be 2000 for each of the balancers at most");
+                file.report("jobs_per_s", "must be 2000 for each of the balancers at most");
             }
             scale
         });
-        reader.end(scale).map_err(|mut faults| {
+        reader.finish(scale).map_err(|mut faults| {
             // What is wrong is told, and not that it is missing too.
             faults.dedup_by(|later, earlier| {
                 later.problem == MISSING && later.line == earlier.line && later.field == earlier.field
--- a/crates/cli/src/rules.rs
+++ b/crates/cli/src/rules.rs
@@ -54,7 +54,7 @@
             };
             let (number, document) =
                 found.ok_or(Failed(status::REFUSED, "this proposal is not kept".to_owned()))?;
-            format!("# proposal {number}\n{}", document.write())
+            format!("# proposal {number}\n{}", document.to_toml())
         }
         RulesDo::Propose { file, over } => {
             let document = check(&file)?;
--- a/crates/control-plane/src/leader_service.rs
+++ b/crates/control-plane/src/leader_service.rs
@@ -98,7 +98,7 @@
             return Err(self.not_leader());
         }
         self.confirmer.confirm().await?;
-        if self.with_lease_table(|table, _| table.over(holder, &request)).unwrap_or(false) {
+        if self.with_lease_table(|table, _| table.is_superseded(holder, &request)).unwrap_or(false) {
             return Err(PeerError::NameTaken);
         }
         self.ensure_member(holder).await?;
@@ -143,7 +143,7 @@
         let written = written.map_err(|_| PeerError::NoQuorum("not written in time".to_owned()))?;
         let response = written.map_err(write_error)?;
         if let Some(name) = departed {
-            self.with_lease_table(|table, _| table.left(&name));
+            self.with_lease_table(|table, _| table.remove_departed(&name));
         }
         match response.data {
             CommandOutcome::Applied(number) => Ok(number),
@@ -233,14 +233,14 @@
 
 /// Returns the version that each member has acknowledged in this term.
 fn acknowledged_versions(rollout: &RolloutState, table: &LeaseTable) -> BTreeMap<String, Version> {
-    let acknowledged = |name: &str| Some((name.to_owned(), table.has(name)?));
+    let acknowledged = |name: &str| Some((name.to_owned(), table.acknowledged(name)?));
     rollout.members().filter_map(|(name, _)| acknowledged(name)).collect()
 }
 
 /// Returns a member that may hold a lease on an earlier version than the active one.
 fn holder_of_prior_lease<'a>(rollout: &'a RolloutState, table: &LeaseTable, now: Nanos) -> Option<&'a str> {
     let (active, _) = rollout.active();
-    rollout.members().map(|(name, _)| name).find(|name| table.only(now, name, active).is_err())
+    rollout.members().map(|(name, _)| name).find(|name| table.prior_lease(now, name, active).is_err())
 }
 
 /// Returns what the next step waits for, if there is one.
@@ -256,14 +256,15 @@
 }
 
 fn holder_statuses(rollout: &RolloutState, table: &LeaseTable, now: Nanos) -> Vec<HolderStatus> {
-    let expiries: BTreeMap<&str, Nanos> = table.holders().map(|(name, _, expiry)| (name, expiry)).collect();
+    let expiries: BTreeMap<&str, Nanos> =
+        table.outstanding_leases().map(|(name, _, expiry)| (name, expiry)).collect();
     let left_ms = |name: &str| match expiries.get(name) {
         Some(expiry) => expiry.saturating_sub(now) / NANOS_PER_MS,
         None => 0,
     };
     let status = |(name, earliest): (&str, Version)| HolderStatus {
         name: name.to_owned(),
-        acknowledged: table.has(name),
+        acknowledged: table.acknowledged(name),
         earliest,
         left_ms: left_ms(name),
     };
--- a/crates/control-plane/src/lease_client.rs
+++ b/crates/control-plane/src/lease_client.rs
@@ -103,14 +103,14 @@
     pub fn summary(&self) -> LeaseSummary {
         let holder = self.holder();
         let now = self.clock.now();
-        let (version, lapsed_for) = match holder.in_force(now) {
+        let (version, lapsed_for) = match holder.state(now) {
             LeaseState::Active(version, _) => (Some(version), 0),
-            LeaseState::Lapsed(version, _) => (Some(version), now - holder.until()),
+            LeaseState::Lapsed(version, _) => (Some(version), now - holder.expiry()),
             LeaseState::NeverGranted => (None, 0),
         };
         LeaseSummary {
             version,
-            left_ms: holder.left(now) / NANOS_PER_MS,
+            left_ms: holder.remaining(now) / NANOS_PER_MS,
             degraded_ms: lapsed_for / NANOS_PER_MS,
         }
     }
@@ -127,7 +127,7 @@
             let request = PeerRequest::RequestLease {
                 holder: self.name.clone(),
                 lease_duration: self.lease.duration,
-                request: self.holder().ask(self.clock.now()),
+                request: self.holder().next_request(self.clock.now()),
             };
             let sent_at = Instant::now();
             let response = self.ask_leader(&request, self.renewal_interval()).await;
@@ -171,9 +171,9 @@
     fn accept_grant(&self, grant: LeaseGrant) {
         let mut holder = self.holder();
         let now = self.clock.now();
-        let is_new_version = holder.granted(now, grant);
-        let lease_expiry = self.clock.instant(holder.until());
-        let new_rules = match holder.in_force(now) {
+        let is_new_version = holder.accept(now, grant);
+        let lease_expiry = self.clock.instant(holder.expiry());
+        let new_rules = match holder.state(now) {
             LeaseState::Active(version, step) if is_new_version => {
                 info!(%version, "rules active");
                 Some(ActiveRules { version, step: Arc::new(step.clone()), lease_expiry })
--- a/crates/control-plane/tests/message_bytes.rs
+++ b/crates/control-plane/tests/message_bytes.rs
@@ -250,7 +250,7 @@
 }
 
 fn answers() -> Vec<PeerResponse> {
-    let step = RulesStep::of(&document());
+    let step = RulesStep::from_document(&document());
     let grant = LeaseGrant { incarnation: 1_000_001, sequence: 302, version: version(300), step: Some(step) };
     let (expect, got) = (SnapshotSegmentId::from(("a", 1)), SnapshotSegmentId::from(("b", 2)));
     let mismatch = InstallSnapshotError::SnapshotMismatch(SnapshotMismatch { expect, got });
--- a/crates/rollout/src/decider.rs
+++ b/crates/rollout/src/decider.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::document::RulesDocument;
-use crate::plan::plan;
+use crate::plan::plan_steps;
 use crate::step::{Contradiction, RulesStep};
 use crate::Version;
 
@@ -85,7 +85,7 @@
         let version = Version { term: 0, number: 1 };
         RolloutState {
             version,
-            steps: VecDeque::from([(version, RulesStep::of(&document))]),
+            steps: VecDeque::from([(version, RulesStep::from_document(&document))]),
             next: VecDeque::new(),
             documents: VecDeque::from([(1, document)]),
             seats: BTreeMap::new(),
@@ -123,7 +123,7 @@
         if base != self.newest() {
             return Err(CommandError::Conflict(self.newest()));
         }
-        self.next = plan(self.active().1, &document).into();
+        self.next = plan_steps(self.active().1, &document).into();
         let number = base + 1;
         self.documents.push_back((number, document));
         if self.documents.len() > KEPT {
@@ -177,7 +177,7 @@
             let may = self.steps.iter().filter(|(version, _)| *version >= earliest);
             // The one in force too: its holder may be cut off before it hears of the next.
             for (_, step) in may {
-                if let Some(why) = step.careful_contradicts(next) {
+                if let Some(why) = step.degraded_contradiction_with(next) {
                     return Some(BlockedBy::DegradedMember(name.clone(), why));
                 }
             }
--- a/crates/rollout/src/document.rs
+++ b/crates/rollout/src/document.rs
@@ -27,7 +27,7 @@
 /// What a scheduler may do whose lease has lapsed, for as long as it stays cut off: its part of each limit times this,
 /// and only these workers. A change that takes any of it away waits until nobody is cut off that may still do it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Degraded {
+pub struct DegradedRules {
     /// From 0 to 1.
     pub quota_share: f64,
     pub allowed_workers: BTreeSet<String>,
@@ -36,10 +36,10 @@
     pub allows_unlimited_tenants: bool,
 }
 
-impl Default for Degraded {
+impl Default for DegradedRules {
     /// All that a change may take away: it goes on serving, and changes wait for it.
     fn default() -> Self {
-        Degraded {
+        DegradedRules {
             quota_share: 1.0,
             allowed_workers: BTreeSet::new(),
             allows_unlisted_workers: true,
@@ -60,7 +60,7 @@
     /// Each tenant's requests a second at all schedulers together.
     pub quotas: BTreeMap<String, f64>,
     pub workers: BTreeMap<String, WorkerState>,
-    pub degraded: Degraded,
+    pub degraded: DegradedRules,
     /// The version of the list of workers that keys are placed by.
     pub list_version: u64,
 }
@@ -74,7 +74,7 @@
             retry_after_ms: (0, 2_000),
             quotas: BTreeMap::new(),
             workers: BTreeMap::new(),
-            degraded: Degraded::default(),
+            degraded: DegradedRules::default(),
             list_version: 0,
         }
     }
@@ -82,7 +82,7 @@
 
 impl RulesDocument {
     /// The document as a text that reads back to the same.
-    pub fn write(&self) -> String {
+    pub fn to_toml(&self) -> String {
         use toml::{Table, Value};
         let text = |text: &String| Value::String(text.clone());
         let worker = |standing: &WorkerState| {
@@ -124,27 +124,29 @@
 
     /// Reads a document. All that is wrong is told, each fault with its line and field.
     pub fn parse(text: &str) -> Result<RulesDocument, Vec<DocumentError>> {
-        let mut reader = TomlReader::new(text)?;
+        let mut reader = TomlReader::parse(text)?;
         let usual = RulesDocument::default();
-        let document = reader.table(
+        let document = reader.read_root(
             "",
             &["schedulers", "attempts", "retry_after_ms", "tenants", "workers", "careful", "list"],
             |root| RulesDocument {
-                schedulers: root.whole("schedulers", 1, 10_000).unwrap_or(1) as u32,
-                max_attempts: root.whole("attempts", 1, 16).unwrap_or(usual.max_attempts.into()) as u32,
-                retry_after_ms: root.range("retry_after_ms", 0, 600_000).unwrap_or(usual.retry_after_ms),
-                quotas: root.named("tenants", MAX_TENANTS, |tenant| {
-                    tenant.only(&["quota_per_s"]);
-                    tenant.figure("quota_per_s", 0.0, 1e9).unwrap_or(0.0)
+                schedulers: root.integer("schedulers", 1, 10_000).unwrap_or(1) as u32,
+                max_attempts: root.integer("attempts", 1, 16).unwrap_or(usual.max_attempts.into()) as u32,
+                retry_after_ms: root
+                    .integer_range("retry_after_ms", 0, 600_000)
+                    .unwrap_or(usual.retry_after_ms),
+                quotas: root.tables_by_name("tenants", MAX_TENANTS, |tenant| {
+                    tenant.deny_unknown(&["quota_per_s"]);
+                    tenant.float("quota_per_s", 0.0, 1e9).unwrap_or(0.0)
                 }),
-                workers: root.named("workers", MAX_WORKERS, |worker| {
-                    worker.only(&["standing", "tenant"]);
-                    let tenant = worker.text("tenant");
-                    match worker.word("standing", &["cordoned", "drained", "never", "pinned"]) {
+                workers: root.tables_by_name("workers", MAX_WORKERS, |worker| {
+                    worker.deny_unknown(&["standing", "tenant"]);
+                    let tenant = worker.string("tenant");
+                    match worker.one_of("standing", &["cordoned", "drained", "never", "pinned"]) {
                         Some("drained") => WorkerState::Drained,
                         Some("never") => WorkerState::Excluded,
                         Some("pinned") => {
-                            let missing = || worker.fault("tenant", "a pinned worker needs one");
+                            let missing = || worker.report("tenant", "a pinned worker needs one");
                             WorkerState::Pinned(tenant.unwrap_or_else(|| {
                                 missing();
                                 String::new()
@@ -153,37 +155,37 @@
                         _ => WorkerState::Cordoned,
                     }
                 }),
-                degraded: root.inner("careful", |careful| {
-                    careful.only(&["share", "workers", "others", "unlimited"]);
-                    Degraded {
-                        quota_share: careful.figure("share", 0.0, 1.0).unwrap_or(usual.degraded.quota_share),
-                        allowed_workers: careful.texts("workers", MAX_WORKERS),
+                degraded: root.table("careful", |careful| {
+                    careful.deny_unknown(&["share", "workers", "others", "unlimited"]);
+                    DegradedRules {
+                        quota_share: careful.float("share", 0.0, 1.0).unwrap_or(usual.degraded.quota_share),
+                        allowed_workers: careful.string_set("workers", MAX_WORKERS),
                         allows_unlisted_workers: careful
-                            .flag("others")
+                            .boolean("others")
                             .unwrap_or(usual.degraded.allows_unlisted_workers),
                         allows_unlimited_tenants: careful
-                            .flag("unlimited")
+                            .boolean("unlimited")
                             .unwrap_or(usual.degraded.allows_unlimited_tenants),
                     }
                 }),
-                list_version: root.whole("list", 0, u64::MAX >> 1).unwrap_or(0),
+                list_version: root.integer("list", 0, u64::MAX >> 1).unwrap_or(0),
             },
         );
         for (worker, standing) in &document.workers {
             if let WorkerState::Pinned(tenant) = standing {
                 if !tenant.is_empty() && !document.quotas.contains_key(tenant) {
-                    reader.fault(&["workers", worker, "tenant"], "is not among the tenants");
+                    reader.report(&["workers", worker, "tenant"], "is not among the tenants");
                 }
             }
         }
         for worker in &document.degraded.allowed_workers {
             if document.workers.contains_key(worker) {
-                reader.fault(
+                reader.report(
                     &["careful", "workers"],
                     &format!("{worker} is set apart, and cannot be for the cut off"),
                 );
             }
         }
-        reader.end(document)
+        reader.finish(document)
     }
 }
--- a/crates/rollout/src/lease.rs
+++ b/crates/rollout/src/lease.rs
@@ -91,12 +91,12 @@
     }
 
     /// When it wants to ask next.
-    pub fn due(&self) -> Nanos {
+    pub fn renewal_due(&self) -> Nanos {
         self.renew
     }
 
     /// Asks now. The lease that answers counts from here, however late it comes.
-    pub fn ask(&mut self, now: Nanos) -> LeaseRequest {
+    pub fn next_request(&mut self, now: Nanos) -> LeaseRequest {
         let number = self.next;
         self.next += 1;
         if self.asked.len() >= ASKED {
@@ -113,7 +113,7 @@
     }
 
     /// Takes a grant: late, twice, or in any order. Tells whether it brought a new version.
-    pub fn granted(&mut self, now: Nanos, grant: LeaseGrant) -> bool {
+    pub fn accept(&mut self, now: Nanos, grant: LeaseGrant) -> bool {
         if grant.incarnation != self.life {
             return false;
         }
@@ -133,7 +133,7 @@
     }
 
     /// What it may act on now. To be asked before every send: a process that stood still sees its lapse here.
-    pub fn in_force(&self, now: Nanos) -> LeaseState<'_> {
+    pub fn state(&self, now: Nanos) -> LeaseState<'_> {
         match &self.held {
             Some((version, step)) if now < self.until => LeaseState::Active(*version, step),
             Some((version, step)) => LeaseState::Lapsed(*version, step),
@@ -142,12 +142,12 @@
     }
 
     /// When its last lease lapses or has lapsed.
-    pub fn until(&self) -> Nanos {
+    pub fn expiry(&self) -> Nanos {
         self.until
     }
 
     /// What is left of its lease.
-    pub fn left(&self, now: Nanos) -> Nanos {
+    pub fn remaining(&self, now: Nanos) -> Nanos {
         self.until.saturating_sub(now)
     }
 }
@@ -199,7 +199,7 @@
         version: Version,
         step: &RulesStep,
     ) -> Option<LeaseGrant> {
-        if self.over(holder, &request) {
+        if self.is_superseded(holder, &request) {
             return None;
         }
         let known = self.holders.entry(holder.to_owned()).or_insert_with(|| Known {
@@ -227,7 +227,7 @@
     }
 
     /// Whether a holder can have a lease on nothing but a version, and else until when it may have one on an earlier.
-    pub fn only(&self, now: Nanos, holder: &str, version: Version) -> Result<PriorLease, Nanos> {
+    pub fn prior_lease(&self, now: Nanos, holder: &str, version: Version) -> Result<PriorLease, Nanos> {
         let earlier = match self.holders.get(holder) {
             Some(known) if known.has >= version => return Ok(PriorLease::Replaced),
             Some(known) if known.granted >= version => known.earlier,
@@ -243,12 +243,12 @@
     }
 
     /// What a holder has told that it has, in this one's time.
-    pub fn has(&self, holder: &str) -> Option<Version> {
+    pub fn acknowledged(&self, holder: &str) -> Option<Version> {
         self.holders.get(holder).map(|known| known.has)
     }
 
     /// Until when by this one's clock each holder may act on what it was granted last.
-    pub fn holders(&self) -> impl Iterator<Item = (&str, Version, Nanos)> {
+    pub fn outstanding_leases(&self) -> impl Iterator<Item = (&str, Version, Nanos)> {
         let surely = self.terms.safe_expiry();
         self.holders
             .iter()
@@ -257,7 +257,7 @@
 
     /// Forgets one that has given up its seat, but for its life: a request of its that comes late must not take the seat
     /// again.
-    pub fn left(&mut self, holder: &str) {
+    pub fn remove_departed(&mut self, holder: &str) {
         if let Some(known) = self.holders.remove(holder) {
             self.gone.push_back((holder.to_owned(), known.life));
             if self.gone.len() > GONE {
@@ -267,7 +267,7 @@
     }
 
     /// Whether a request is of a process that has given up its seat, or whose place another has taken.
-    pub fn over(&self, holder: &str, request: &LeaseRequest) -> bool {
+    pub fn is_superseded(&self, holder: &str, request: &LeaseRequest) -> bool {
         self.holders.get(holder).is_some_and(|known| known.before.contains(&request.incarnation))
             || self.gone.iter().any(|(name, life)| name == holder && *life == request.incarnation)
     }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -2,8 +2,8 @@
 //! than a stated time. Pure: no I/O, no clock, no tasks; every time is handed in.
 //!
 //! - A [`RulesDocument`] is what an operator writes: limits, workers set apart, and what a scheduler may do that is cut off.
-//! - A change from one document to another is carried out in [`RulesStep`]s ([`plan`]). Two neighbouring steps may be in
-//!   force at once, for [`RulesStep::contradicts`] finds nothing between them; never three.
+//! - A change from one document to another is carried out in [`RulesStep`]s ([`plan_steps`]). Two neighbouring steps may be in
+//!   force at once, for [`RulesStep::contradiction_with`] finds nothing between them; never three.
 //! - A scheduler acts on a step only under a lease ([`LeaseHolder`]). Without one it acts on the step's careful rules.
 //! - Whoever decides ([`RolloutState`], replicated) goes on to the next step once all who sit at the table have the last one
 //!   or can surely act only carefully ([`LeaseTable`], kept by the one that decides now), and once nobody's careful rules
@@ -21,9 +21,9 @@
 mod toml_faults;
 
 pub use decider::{BlockedBy, CommandError, RolloutState};
-pub use document::{Degraded, RulesDocument, WorkerState, MAX_TENANTS, MAX_WORKERS};
+pub use document::{DegradedRules, RulesDocument, WorkerState, MAX_TENANTS, MAX_WORKERS};
 pub use lease::{LeaseConfig, LeaseGrant, LeaseHolder, LeaseRequest, LeaseState, LeaseTable, PriorLease};
-pub use plan::plan;
+pub use plan::plan_steps;
 pub use step::{Contradiction, KeyPlacement, PlacementInputs, RulesStep, WorkerAccess};
 pub use toml_faults::{DocumentError, TomlReader, TomlTable};
 
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -1,13 +1,13 @@
 //! The way from one step to what a document wants, such that no step contradicts the one before it: as the online
 //! change of a schema goes through states that agree with both neighbours (Rae et al., F1, VLDB 2013).
 
-use crate::document::{Degraded, RulesDocument, WorkerState};
+use crate::document::{DegradedRules, RulesDocument, WorkerState};
 use crate::step::{KeyPlacement, RulesStep, WorkerAccess};
 
 /// The steps that lead from the one in force to what a document wants, the last of which does; none if nothing changes.
 /// Each agrees with the one before.
-pub fn plan(from: &RulesStep, to: &RulesDocument) -> Vec<RulesStep> {
-    let wanted = RulesStep::of(to);
+pub fn plan_steps(from: &RulesStep, to: &RulesDocument) -> Vec<RulesStep> {
+    let wanted = RulesStep::from_document(to);
     let mut steps = vec![from.clone()];
     let mut go = |change: &dyn Fn(&mut RulesStep)| {
         let mut next = steps[steps.len() - 1].clone();
@@ -76,7 +76,7 @@
 }
 
 /// What a cut off scheduler may do that no step from one to the other forbids.
-fn meet(from: &RulesStep, to: &RulesStep) -> Degraded {
+fn meet(from: &RulesStep, to: &RulesStep) -> DegradedRules {
     let places = |step: &RulesStep| match &step.key_placement {
         KeyPlacement::Single(set) | KeyPlacement::Transition(_, set) => set.clone(),
     };
@@ -99,7 +99,7 @@
     let others =
         keeps_places && to.worker_access.keys().all(|worker| from.worker_access.contains_key(worker));
     let unlimited = to.quotas.keys().all(|tenant| from.quotas.contains_key(tenant));
-    Degraded {
+    DegradedRules {
         quota_share: share,
         allowed_workers: workers.cloned().collect(),
         allows_unlisted_workers: from.degraded.allows_unlisted_workers && others,
--- a/crates/rollout/src/step.rs
+++ b/crates/rollout/src/step.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::document::{Degraded, RulesDocument, WorkerState};
+use crate::document::{DegradedRules, RulesDocument, WorkerState};
 
 /// Whom a worker may be sent new work of.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -49,7 +49,7 @@
     /// Workers that are not open to all.
     pub worker_access: BTreeMap<String, WorkerAccess>,
     pub key_placement: KeyPlacement,
-    pub degraded: Degraded,
+    pub degraded: DegradedRules,
 }
 
 /// Why two steps may not be in force at once.
@@ -81,7 +81,7 @@
 
 impl RulesStep {
     /// The one step of a document that nothing went before.
-    pub fn of(document: &RulesDocument) -> RulesStep {
+    pub fn from_document(document: &RulesDocument) -> RulesStep {
         let uses = document.workers.iter().map(|(worker, standing)| {
             let put = match standing {
                 WorkerState::Pinned(tenant) => WorkerAccess::Exclusive(tenant.clone()),
@@ -100,7 +100,7 @@
                 list_version: document.list_version,
                 excluded_workers: document.workers.keys().cloned().collect(),
             }),
-            degraded: Degraded {
+            degraded: DegradedRules {
                 allows_unlisted_workers: document.degraded.allows_unlisted_workers,
                 allows_unlimited_tenants: document.degraded.allows_unlimited_tenants,
                 quota_share: document.degraded.quota_share,
@@ -113,12 +113,12 @@
     }
 
     /// A scheduler's part of a tenant's limit, with a lease; infinite for a tenant that has none.
-    pub fn part(&self, tenant: &str) -> f64 {
+    pub fn member_quota(&self, tenant: &str) -> f64 {
         self.quotas.get(tenant).map_or(f64::INFINITY, |quota| quota / f64::from(self.quota_shares))
     }
 
     /// Its part while it is cut off.
-    pub fn careful_part(&self, tenant: &str) -> f64 {
+    pub fn degraded_member_quota(&self, tenant: &str) -> f64 {
         let without = if self.degraded.allows_unlimited_tenants { f64::INFINITY } else { 0.0 };
         self.quotas
             .get(tenant)
@@ -136,21 +136,21 @@
     }
 
     /// The same while the scheduler is cut off.
-    pub fn careful_allows(&self, worker: &str, tenant: &str) -> bool {
-        self.careful_covers(worker) && self.allows(worker, tenant)
+    pub fn degraded_allows(&self, worker: &str, tenant: &str) -> bool {
+        self.degraded_covers(worker) && self.allows(worker, tenant)
     }
 
-    fn careful_covers(&self, worker: &str) -> bool {
+    fn degraded_covers(&self, worker: &str) -> bool {
         self.degraded.allowed_workers.contains(worker)
             || self.degraded.allows_unlisted_workers && !self.worker_access.contains_key(worker)
     }
 
     /// Whether a scheduler that acts on this one and others that act on `other` may together do what neither allows.
-    pub fn contradicts(&self, other: &RulesStep) -> Option<Contradiction> {
+    pub fn contradiction_with(&self, other: &RulesStep) -> Option<Contradiction> {
         let tenants: BTreeSet<&String> = self.quotas.keys().chain(other.quotas.keys()).collect();
         for tenant in tenants {
             let (Some(a), Some(b)) = (self.quotas.get(tenant), other.quotas.get(tenant)) else { continue };
-            if self.worst_sum(other, tenant) > a.max(*b) * (1.0 + ROUNDING) {
+            if self.max_combined_quota(other, tenant) > a.max(*b) * (1.0 + ROUNDING) {
                 return Some(Contradiction::QuotaExceeded(tenant.clone()));
             }
         }
@@ -167,8 +167,8 @@
     }
 
     /// The most that all who sit at the table come to, some acting on this and some on the other.
-    fn worst_sum(&self, other: &RulesStep, tenant: &str) -> f64 {
-        let (mine, theirs) = (self.part(tenant), other.part(tenant));
+    fn max_combined_quota(&self, other: &RulesStep, tenant: &str) -> f64 {
+        let (mine, theirs) = (self.member_quota(tenant), other.member_quota(tenant));
         let ((large, many), (small, few)) = match mine >= theirs {
             true => ((mine, self.max_members), (theirs, other.max_members)),
             false => ((theirs, other.max_members), (mine, self.max_members)),
@@ -178,15 +178,15 @@
     }
 
     /// Whether a scheduler that is cut off, and acts on this one's careful rules, may do what `now` does not allow.
-    pub fn careful_contradicts(&self, now: &RulesStep) -> Option<Contradiction> {
+    pub fn degraded_contradiction_with(&self, now: &RulesStep) -> Option<Contradiction> {
         for (tenant, quota) in &now.quotas {
             // Its seat is its own: it must not take more than the part that goes with that.
-            if self.careful_part(tenant) > quota / f64::from(now.quota_shares) * (1.0 + ROUNDING) {
+            if self.degraded_member_quota(tenant) > quota / f64::from(now.quota_shares) * (1.0 + ROUNDING) {
                 return Some(Contradiction::QuotaExceeded(tenant.clone()));
             }
         }
         for worker in now.worker_access.keys() {
-            if self.careful_covers(worker) {
+            if self.degraded_covers(worker) {
                 return Some(Contradiction::ReservedWorker(worker.clone()));
             }
         }
--- a/crates/rollout/src/toml_faults.rs
+++ b/crates/rollout/src/toml_faults.rs
@@ -41,7 +41,7 @@
 }
 
 impl<'a> TomlReader<'a> {
-    pub fn new(text: &'a str) -> Result<TomlReader<'a>, Vec<DocumentError>> {
+    pub fn parse(text: &'a str) -> Result<TomlReader<'a>, Vec<DocumentError>> {
         match DeTable::parse(text) {
             Ok(root) => Ok(TomlReader { text, root: root.into_inner(), faults: RefCell::default() }),
             Err(e) => {
@@ -56,14 +56,19 @@
     }
 
     /// Reads the whole file, in which only these fields may stand.
-    pub fn table<T>(&mut self, path: &str, known: &[&str], read: impl FnOnce(&TomlTable<'_, 'a>) -> T) -> T {
+    pub fn read_root<T>(
+        &mut self,
+        path: &str,
+        known: &[&str],
+        read: impl FnOnce(&TomlTable<'_, 'a>) -> T,
+    ) -> T {
         let table = TomlTable { reader: self, table: Some(&self.root), path: path.to_owned(), at: 0 };
-        table.only(known);
+        table.deny_unknown(known);
         read(&table)
     }
 
     /// Tells of a fault that no single field shows, at the field of this path.
-    pub fn fault(&self, path: &[&str], what: &str) {
+    pub fn report(&self, path: &[&str], what: &str) {
         let (mut table, mut at) = (Some(&self.root), 0);
         for field in path {
             let Some(value) = table.and_then(|table| table.get(*field)) else { break };
@@ -73,10 +78,10 @@
                 _ => None,
             };
         }
-        self.note(at, &path.join("."), what);
+        self.report_at(at, &path.join("."), what);
     }
 
-    fn note(&self, at: usize, field: &str, what: &str) {
+    fn report_at(&self, at: usize, field: &str, what: &str) {
         let mut faults = self.faults.borrow_mut();
         if faults.len() < MOST {
             faults.push(DocumentError {
@@ -88,7 +93,7 @@
     }
 
     /// What was read, if nothing is wrong with it.
-    pub fn end<T>(self, read: T) -> Result<T, Vec<DocumentError>> {
+    pub fn finish<T>(self, read: T) -> Result<T, Vec<DocumentError>> {
         let mut faults = self.faults.into_inner();
         faults.sort_by_key(|fault| fault.line);
         if faults.is_empty() {
@@ -104,7 +109,7 @@
 }
 
 impl<'r, 'a> TomlTable<'r, 'a> {
-    fn name(&self, field: &str) -> String {
+    fn path_of(&self, field: &str) -> String {
         if self.path.is_empty() {
             field.to_owned()
         } else {
@@ -113,9 +118,9 @@
     }
 
     /// Tells of a fault at a field, or at the table where that is missing.
-    pub fn fault(&self, field: &str, what: &str) {
+    pub fn report(&self, field: &str, what: &str) {
         let at = self.get(field).map_or(self.at, |value| value.span().start);
-        self.reader.note(at, &self.name(field), what);
+        self.reader.report_at(at, &self.path_of(field), what);
     }
 
     fn get(&self, field: &str) -> Option<&'r Spanned<DeValue<'a>>> {
@@ -123,10 +128,10 @@
     }
 
     /// All other fields are faults.
-    pub fn only(&self, known: &[&str]) {
+    pub fn deny_unknown(&self, known: &[&str]) {
         for key in self.table.into_iter().flat_map(DeTable::keys) {
             if !known.contains(&key.get_ref().as_ref()) {
-                self.reader.note(key.span().start, &self.name(key.get_ref()), "unknown");
+                self.reader.report_at(key.span().start, &self.path_of(key.get_ref()), "unknown");
             }
         }
     }
@@ -139,35 +144,35 @@
         };
         let number = text.parse().ok();
         if number.is_none() {
-            self.fault(field, "must be a number");
+            self.report(field, "must be a number");
         }
         number
     }
 
     /// A number between bounds.
-    pub fn figure(&self, field: &str, low: f64, high: f64) -> Option<f64> {
+    pub fn float(&self, field: &str, low: f64, high: f64) -> Option<f64> {
         let x = self.number(field)?;
         if (low..=high).contains(&x) {
             return Some(x);
         }
-        self.fault(field, &format!("must be from {low} to {high}, and is {x}"));
+        self.report(field, &format!("must be from {low} to {high}, and is {x}"));
         None
     }
 
     /// A whole number between bounds.
-    pub fn whole(&self, field: &str, low: u64, high: u64) -> Option<u64> {
+    pub fn integer(&self, field: &str, low: u64, high: u64) -> Option<u64> {
         let x = self.number(field)?;
         if x.fract() == 0.0 && x >= low as f64 && x <= high as f64 {
             return Some(x as u64);
         }
-        self.fault(field, &format!("must be a whole number from {low} to {high}, and is {x}"));
+        self.report(field, &format!("must be a whole number from {low} to {high}, and is {x}"));
         None
     }
 
     /// Two whole numbers, the first not above the second.
-    pub fn range(&self, field: &str, low: u32, high: u32) -> Option<(u32, u32)> {
+    pub fn integer_range(&self, field: &str, low: u32, high: u32) -> Option<(u32, u32)> {
         let DeValue::Array(items) = self.get(field)?.get_ref() else {
-            self.fault(field, "must be [least, most]");
+            self.report(field, "must be [least, most]");
             return None;
         };
         let figure = |n: usize| match items.get(n)?.get_ref() {
@@ -179,53 +184,53 @@
                 Some((least, most))
             }
             _ => {
-                self.fault(field, &format!("must be [least, most] from {low} to {high}"));
+                self.report(field, &format!("must be [least, most] from {low} to {high}"));
                 None
             }
         }
     }
 
-    pub fn text(&self, field: &str) -> Option<String> {
+    pub fn string(&self, field: &str) -> Option<String> {
         match self.get(field)?.get_ref() {
             DeValue::String(text) if !text.is_empty() && text.len() <= 256 => Some(text.to_string()),
             _ => {
-                self.fault(field, "must be a text of 1 to 256 bytes");
+                self.report(field, "must be a text of 1 to 256 bytes");
                 None
             }
         }
     }
 
-    pub fn flag(&self, field: &str) -> Option<bool> {
+    pub fn boolean(&self, field: &str) -> Option<bool> {
         match self.get(field)?.get_ref() {
             DeValue::Boolean(flag) => Some(*flag),
             _ => {
-                self.fault(field, "must be true or false");
+                self.report(field, "must be true or false");
                 None
             }
         }
     }
 
-    pub fn word<'w>(&self, field: &str, words: &[&'w str]) -> Option<&'w str> {
+    pub fn one_of<'w>(&self, field: &str, words: &[&'w str]) -> Option<&'w str> {
         let found = match self.get(field).map(Spanned::get_ref) {
             Some(DeValue::String(text)) => words.iter().find(|word| **word == text.as_ref()).copied(),
             _ => None,
         };
         if found.is_none() {
-            self.fault(field, &format!("must be one of {}", words.join(", ")));
+            self.report(field, &format!("must be one of {}", words.join(", ")));
         }
         found
     }
 
     /// A list of texts, none of them twice.
-    pub fn texts(&self, field: &str, most: usize) -> BTreeSet<String> {
+    pub fn string_set(&self, field: &str, most: usize) -> BTreeSet<String> {
         let mut texts = BTreeSet::new();
         let Some(value) = self.get(field) else { return texts };
         let DeValue::Array(items) = value.get_ref() else {
-            self.fault(field, "must be a list of texts");
+            self.report(field, "must be a list of texts");
             return texts;
         };
         if items.len() > most {
-            self.fault(field, &format!("has over {most}"));
+            self.report(field, &format!("has over {most}"));
             return texts;
         }
         for item in items.iter() {
@@ -236,31 +241,31 @@
                 _ => false,
             };
             if !sound {
-                self.reader.note(item.span().start, &self.name(field), "must be texts, each once");
+                self.reader.report_at(item.span().start, &self.path_of(field), "must be texts, each once");
             }
         }
         texts
     }
 
     /// A table in this one; one without fields if it is missing.
-    pub fn inner<T>(&self, field: &str, read: impl FnOnce(&TomlTable<'r, 'a>) -> T) -> T {
+    pub fn table<T>(&self, field: &str, read: impl FnOnce(&TomlTable<'r, 'a>) -> T) -> T {
         let found = self.get(field);
         let table = found.and_then(|value| match value.get_ref() {
             DeValue::Table(table) => Some(table),
             _ => None,
         });
         if found.is_some() && table.is_none() {
-            self.fault(field, "must be a table");
+            self.report(field, "must be a table");
         }
-        read(&self.at(field, table, found.map_or(self.at, |value| value.span().start)))
+        read(&self.nested(field, table, found.map_or(self.at, |value| value.span().start)))
     }
 
-    fn at(&self, field: &str, table: Option<&'r DeTable<'a>>, at: usize) -> TomlTable<'r, 'a> {
-        TomlTable { reader: self.reader, table, path: self.name(field), at }
+    fn nested(&self, field: &str, table: Option<&'r DeTable<'a>>, at: usize) -> TomlTable<'r, 'a> {
+        TomlTable { reader: self.reader, table, path: self.path_of(field), at }
     }
 
     /// Tables by name in a table.
-    pub fn named<T>(
+    pub fn tables_by_name<T>(
         &self,
         field: &str,
         most: usize,
@@ -269,21 +274,21 @@
         let mut named = BTreeMap::new();
         let Some(value) = self.get(field) else { return named };
         let DeValue::Table(tables) = value.get_ref() else {
-            self.fault(field, "must hold tables by name");
+            self.report(field, "must hold tables by name");
             return named;
         };
         if tables.len() > most {
-            self.fault(field, &format!("has over {most}"));
+            self.report(field, &format!("has over {most}"));
             return named;
         }
-        let outer = self.at(field, Some(tables), value.span().start);
+        let outer = self.nested(field, Some(tables), value.span().start);
         for (name, value) in tables.iter() {
             match value.get_ref() {
                 DeValue::Table(table) => {
-                    let table = outer.at(name.get_ref(), Some(table), value.span().start);
+                    let table = outer.nested(name.get_ref(), Some(table), value.span().start);
                     named.insert(name.get_ref().to_string(), read(&table));
                 }
-                _ => outer.fault(name.get_ref(), "must be a table"),
+                _ => outer.report(name.get_ref(), "must be a table"),
             }
         }
         named
--- a/crates/rollout/tests/decider.rs
+++ b/crates/rollout/tests/decider.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use nickelflow_rollout::{
-    BlockedBy, CommandError, Contradiction, Degraded, RolloutState, RulesDocument, Version, WorkerAccess,
-    WorkerState,
+    BlockedBy, CommandError, Contradiction, DegradedRules, RolloutState, RulesDocument, Version,
+    WorkerAccess, WorkerState,
 };
 
 fn document(quota: f64, workers: &[(&str, WorkerState)], core: &[&str]) -> RulesDocument {
@@ -12,7 +12,7 @@
         schedulers: 3,
         quotas: BTreeMap::from([("a".to_owned(), quota), ("b".to_owned(), 10.0)]),
         workers: workers.iter().map(|(w, s)| ((*w).to_owned(), s.clone())).collect(),
-        degraded: Degraded {
+        degraded: DegradedRules {
             quota_share: 0.5,
             allowed_workers: core.iter().map(|w| (*w).to_owned()).collect(),
             allows_unlisted_workers: false,
@@ -72,7 +72,7 @@
     while decider.pending_steps() > 0 {
         let has = told(&decider, &["s0", "s1", "s2"]);
         decider.advance(1, &has).expect("nothing to wait for");
-        assert_eq!(last.contradicts(decider.active().1), None);
+        assert_eq!(last.contradiction_with(decider.active().1), None);
         last = decider.active().1.clone();
     }
     assert_eq!(last.worker_access["w"], WorkerAccess::Exclusive("a".to_owned()));
@@ -143,7 +143,7 @@
     );
     finish(&mut decider);
     assert_eq!((decider.active().1.max_members, decider.active().1.quota_shares), (2, 2));
-    assert_eq!(decider.active().1.part("a"), 15.0);
+    assert_eq!(decider.active().1.member_quota("a"), 15.0);
 }
 
 #[test]
--- a/crates/rollout/tests/leases.rs
+++ b/crates/rollout/tests/leases.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use nickelflow_rollout::{
-    Degraded, LeaseConfig, LeaseGrant, LeaseHolder, LeaseRequest, LeaseState, LeaseTable, Nanos,
+    DegradedRules, LeaseConfig, LeaseGrant, LeaseHolder, LeaseRequest, LeaseState, LeaseTable, Nanos,
     RolloutState, RulesDocument, RulesStep, Version, WorkerState,
 };
 
@@ -95,7 +95,7 @@
     let share = random.f64();
     let core = WORKERS.iter().filter(|w| !document.workers.contains_key(**w) && random.bool());
     let workers = core.map(|w| (*w).to_owned()).collect();
-    document.degraded = Degraded {
+    document.degraded = DegradedRules {
         quota_share: share,
         allowed_workers: workers,
         allows_unlisted_workers: random.bool(),
@@ -191,7 +191,7 @@
         match event {
             Event::Renew(n) => {
                 let (holder, clock, cut) = &mut self.holders[n];
-                let (request, cut) = (holder.ask(clock.at(self.now)), *cut);
+                let (request, cut) = (holder.next_request(clock.at(self.now)), *cut);
                 let last = self.deciding.len() - 1;
                 // It may still take one that no longer decides for the one that does.
                 let to = if self.random.u32(0..4) == 0 { self.random.usize(0..=last) } else { last };
@@ -205,13 +205,13 @@
                 let now = clock.at(self.now);
                 if self.guard == Guard::FromArrival {
                     // As if it had been asked for just now.
-                    let request = holder.ask(now);
-                    holder.granted(
+                    let request = holder.next_request(now);
+                    holder.accept(
                         now,
                         LeaseGrant { incarnation: request.incarnation, sequence: request.sequence, ..grant },
                     );
                 } else {
-                    holder.granted(now, grant);
+                    holder.accept(now, grant);
                 }
             }
             Event::Propose => {
@@ -278,10 +278,10 @@
         let (version, _) = self.decider.active();
         let names: Vec<String> = self.decider.members().map(|(name, _)| name.to_owned()).collect();
         let now = clock.at(self.now);
-        let settled = names.iter().all(|name| grantor.only(now, name, version).is_ok());
+        let settled = names.iter().all(|name| grantor.prior_lease(now, name, version).is_ok());
         let has: BTreeMap<String, Version> = match self.guard {
             Guard::NoWaiting => names.iter().map(|name| (name.clone(), version)).collect(),
-            _ => names.iter().filter_map(|name| Some((name.clone(), grantor.has(name)?))).collect(),
+            _ => names.iter().filter_map(|name| Some((name.clone(), grantor.acknowledged(name)?))).collect(),
         };
         if !settled && self.guard != Guard::NoWaiting {
             return;
@@ -296,7 +296,7 @@
     /// Whether all who act at this moment may.
     fn check(&mut self) {
         let acting: Vec<LeaseState<'_>> =
-            self.holders.iter().map(|(holder, clock, _)| holder.in_force(clock.at(self.now))).collect();
+            self.holders.iter().map(|(holder, clock, _)| holder.state(clock.at(self.now))).collect();
         let mut broken = None;
         for (n, one) in acting.iter().enumerate() {
             if let LeaseState::Active(version, _) = one {
@@ -312,17 +312,17 @@
             }
             for (m, other) in acting.iter().enumerate().filter(|(m, _)| *m != n) {
                 let why = match (one, other) {
-                    (LeaseState::Active(_, a), LeaseState::Active(_, b)) => a.contradicts(b),
+                    (LeaseState::Active(_, a), LeaseState::Active(_, b)) => a.contradiction_with(b),
                     (LeaseState::Lapsed(_, a), LeaseState::Active(_, b))
                         if self.guard == Guard::NeverCareful =>
                     {
-                        a.contradicts(b)
+                        a.contradiction_with(b)
                     }
                     (LeaseState::Lapsed(later, a), LeaseState::Active(version, b)) if later >= version => {
                         // What it may do carefully is a part of what it might do in full.
-                        a.contradicts(b)
+                        a.contradiction_with(b)
                     }
-                    (LeaseState::Lapsed(_, a), LeaseState::Active(_, b)) => a.careful_contradicts(b),
+                    (LeaseState::Lapsed(_, a), LeaseState::Active(_, b)) => a.degraded_contradiction_with(b),
                     _ => None,
                 };
                 if let Some(why) = why {
@@ -334,9 +334,9 @@
             .iter()
             .map(|acts| match acts {
                 LeaseState::Active(_, step) => {
-                    step.quotas.get("emmental").map_or(0.0, |_| step.part("emmental"))
+                    step.quotas.get("emmental").map_or(0.0, |_| step.member_quota("emmental"))
                 }
-                LeaseState::Lapsed(_, step) => step.careful_part("emmental"),
+                LeaseState::Lapsed(_, step) => step.degraded_member_quota("emmental"),
                 LeaseState::NeverGranted => 0.0,
             })
             .sum();
@@ -394,15 +394,15 @@
 #[test]
 fn a_request_that_comes_late_takes_no_seat_again_for_one_that_has_left() {
     let terms = LeaseConfig::new(1_000 * MS, 300 * MS, 0.0).expect("sound terms");
-    let step = RulesStep::of(&RulesDocument::default());
+    let step = RulesStep::from_document(&RulesDocument::default());
     let version = Version { term: 1, number: 1 };
     let mut grantor = LeaseTable::new(terms, 0);
     let (mut first, mut second) = (LeaseHolder::new(terms, 1), LeaseHolder::new(terms, 2));
-    let late = first.ask(1);
+    let late = first.next_request(1);
     assert!(grantor.grant(1, "a", late, version, &step).is_some());
-    grantor.left("a");
-    assert!(grantor.over("a", &late) && grantor.grant(2, "a", late, version, &step).is_none());
+    grantor.remove_departed("a");
+    assert!(grantor.is_superseded("a", &late) && grantor.grant(2, "a", late, version, &step).is_none());
     // The next process of its name is another.
-    let anew = second.ask(3);
+    let anew = second.next_request(3);
     assert!(grantor.grant(3, "a", anew, version, &step).is_some());
 }
--- a/crates/rollout/tests/model.rs
+++ b/crates/rollout/tests/model.rs
@@ -104,7 +104,7 @@
 impl Small {
     fn new(fault: Fault) -> Small {
         let terms = LeaseConfig::new(LEASE, 1, 0.0).expect("sound terms");
-        Small { fault, terms, step: RulesStep::of(&RulesDocument::default()) }
+        Small { fault, terms, step: RulesStep::from_document(&RulesDocument::default()) }
     }
 
     fn holder(&self, life: u64) -> LeaseHolder {
@@ -116,10 +116,10 @@
     fn may_decide(&self, state: &State) -> bool {
         let settled = (0..SCHEDULERS).all(|n| {
             self.fault == Fault::Unanswered
-                || state.grantor.only(state.now, name(n), version(state.version)).is_ok()
+                || state.grantor.prior_lease(state.now, name(n), version(state.version)).is_ok()
         });
         // What the careful rules of version 1 allow version 3 forbids.
-        let told = (0..SCHEDULERS).all(|n| state.grantor.has(name(n)) >= Some(version(2)));
+        let told = (0..SCHEDULERS).all(|n| state.grantor.acknowledged(name(n)) >= Some(version(2)));
         let careful = state.version < 2
             || told
             || matches!(self.fault, Fault::Careless | Fault::Unanswered | Fault::Forgets);
@@ -146,9 +146,9 @@
             grants: vec![],
         };
         for n in (0..SCHEDULERS).chain(0..SCHEDULERS) {
-            let request = begin.holders[n].ask(1);
+            let request = begin.holders[n].next_request(1);
             let grant = begin.grantor.grant(1, name(n), request, version(1), &self.step);
-            begin.holders[n].granted(1, grant.expect("nobody has its name"));
+            begin.holders[n].accept(1, grant.expect("nobody has its name"));
         }
         vec![begin]
     }
@@ -181,15 +181,15 @@
         match act {
             Act::Tick => state.now += 1,
             Act::Exchange(n) => {
-                let request = state.holders[n].ask(state.now);
+                let request = state.holders[n].next_request(state.now);
                 state.asks[n] += 1;
                 let now = version(state.version);
                 let grant = state.grantor.grant(state.now, name(n), request, now, &self.step)?;
-                state.holders[n].granted(state.now, grant);
+                state.holders[n].accept(state.now, grant);
             }
             Act::Ask(n) => {
                 state.slow += 1;
-                let request = state.holders[n].ask(state.now);
+                let request = state.holders[n].next_request(state.now);
                 state.asks[n] += 1;
                 state.requests.push((n, request));
             }
@@ -201,7 +201,7 @@
             }
             Act::Granted(at) => {
                 let (n, grant) = state.grants.remove(at);
-                state.holders[n].granted(state.now, grant);
+                state.holders[n].accept(state.now, grant);
             }
             Act::Decide => {
                 state.version += 1;
@@ -223,7 +223,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(NEIGHBOURS, |_, state: &State| {
-                (0..SCHEDULERS).all(|n| match state.holders[n].in_force(state.now) {
+                (0..SCHEDULERS).all(|n| match state.holders[n].state(state.now) {
                     LeaseState::Active(acts, _) => acts.number + 1 >= state.version,
                     _ => true,
                 })
@@ -231,7 +231,7 @@
             Property::always(
                 "nobody acts on a version for T after the next",
                 |model: &Small, state: &State| {
-                    (0..SCHEDULERS).all(|n| match state.holders[n].in_force(state.now) {
+                    (0..SCHEDULERS).all(|n| match state.holders[n].state(state.now) {
                         LeaseState::Active(acts, _) => {
                             let next = state.decided.get(acts.number as usize);
                             next.is_none_or(|next| state.now - next < model.terms.max_overlap())
@@ -241,14 +241,14 @@
                 },
             ),
             Property::always(CAREFUL, |_, state: &State| {
-                (0..SCHEDULERS).all(|n| match state.holders[n].in_force(state.now) {
+                (0..SCHEDULERS).all(|n| match state.holders[n].state(state.now) {
                     LeaseState::Lapsed(acts, _) => acts.number > 1 || state.version < 3,
                     _ => true,
                 })
             }),
             Property::sometimes("version 3 comes into force", |_, state: &State| state.version == 3),
             Property::sometimes("two versions are in force at once", |_, state: &State| {
-                let acts = |n: usize| match state.holders[n].in_force(state.now) {
+                let acts = |n: usize| match state.holders[n].state(state.now) {
                     LeaseState::Active(acts, _) => Some(acts.number),
                     _ => None,
                 };
--- a/crates/rollout/tests/plan.rs
+++ b/crates/rollout/tests/plan.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use nickelflow_rollout::{plan, Degraded, KeyPlacement, RulesDocument, RulesStep, WorkerState};
+use nickelflow_rollout::{plan_steps, DegradedRules, KeyPlacement, RulesDocument, RulesStep, WorkerState};
 use proptest::prelude::*;
 
 const TENANTS: [&str; 3] = ["bern", "emmental", "seeland"];
@@ -37,7 +37,7 @@
         list in 0u64..3,
     ) -> RulesDocument {
         let core = core.into_iter().filter(|w| !workers.contains_key(w)).collect();
-        let careful = Degraded { quota_share: share, allowed_workers: core, allows_unlisted_workers: others, allows_unlimited_tenants: unlimited };
+        let careful = DegradedRules { quota_share: share, allowed_workers: core, allows_unlisted_workers: others, allows_unlimited_tenants: unlimited };
         RulesDocument { schedulers, quotas, workers, degraded: careful, list_version: list, ..RulesDocument::default() }
     }
 }
@@ -58,7 +58,7 @@
             .collect::<Vec<_>>()
     };
     Acts {
-        parts: step.quotas.keys().map(|t| (t.clone(), step.part(t))).collect(),
+        parts: step.quotas.keys().map(|t| (t.clone(), step.member_quota(t))).collect(),
         sends: WORKERS.iter().flat_map(sends).collect(),
     }
 }
@@ -125,11 +125,11 @@
 
     #[test]
     fn each_step_agrees_with_its_neighbours(from in document(), to in document()) {
-        let first = RulesStep::of(&from);
-        let steps = plan(&first, &to);
+        let first = RulesStep::from_document(&from);
+        let steps = plan_steps(&first, &to);
         let mut last = &first;
         for step in &steps {
-            prop_assert_eq!(last.contradicts(step), None, "{:#?} and {:#?}", last, step);
+            prop_assert_eq!(last.contradiction_with(step), None, "{:#?} and {:#?}", last, step);
             prop_assert_eq!(collide(last, step), None);
             for key in 0..40 {
                 let (a, b) = (sent(last, key), sent(step, key));
@@ -137,32 +137,32 @@
             }
             last = step;
         }
-        prop_assert_eq!(last, &RulesStep::of(&to));
+        prop_assert_eq!(last, &RulesStep::from_document(&to));
         prop_assert!(steps.len() <= 8, "{} steps", steps.len());
     }
 
     #[test]
     fn who_is_cut_off_on_the_way_does_nothing_that_a_later_step_forbids(from in document(), to in document()) {
-        let first = RulesStep::of(&from);
-        let steps: Vec<RulesStep> = std::iter::once(first.clone()).chain(plan(&first, &to)).collect();
+        let first = RulesStep::from_document(&from);
+        let steps: Vec<RulesStep> = std::iter::once(first.clone()).chain(plan_steps(&first, &to)).collect();
         // But for the first step, after which all must have told that they know: what they may do carefully shrinks.
         for pair in steps.windows(2).skip(1) {
-            prop_assert_eq!(pair[0].careful_contradicts(&pair[1]), None, "{:#?} and {:#?}", &pair[0], &pair[1]);
+            prop_assert_eq!(pair[0].degraded_contradiction_with(&pair[1]), None, "{:#?} and {:#?}", &pair[0], &pair[1]);
         }
-        prop_assert_eq!(first.careful_contradicts(&steps[steps.len().min(2) - 1]), None);
+        prop_assert_eq!(first.degraded_contradiction_with(&steps[steps.len().min(2) - 1]), None);
         for (now, later) in steps.iter().enumerate().flat_map(|(n, now)| steps[n + 1..].iter().map(move |l| (now, l))) {
-            if now.careful_contradicts(later).is_none() {
+            if now.degraded_contradiction_with(later).is_none() {
                 for worker in WORKERS {
                     for tenant in TENANTS {
-                        let may = now.careful_allows(worker, tenant);
+                        let may = now.degraded_allows(worker, tenant);
                         prop_assert!(!may || !later.worker_access.contains_key(worker), "{} to {}", tenant, worker);
                     }
                 }
                 for tenant in later.quotas.keys() {
-                    prop_assert!(now.careful_part(tenant) <= later.part(tenant) * (1.0 + 1e-6));
+                    prop_assert!(now.degraded_member_quota(tenant) <= later.member_quota(tenant) * (1.0 + 1e-6));
                 }
                 for key in 0..40 {
-                    let careful = sent(now, key).filter(|w| now.careful_allows(w, ""));
+                    let careful = sent(now, key).filter(|w| now.degraded_allows(w, ""));
                     let there = sent(later, key);
                     prop_assert!(careful.is_none() || there.is_none() || careful == there);
                 }
@@ -175,16 +175,16 @@
         // Only what can be written by hand: a pinned worker's tenant has a limit.
         let quotas = document.quotas.clone();
         document.workers.retain(|_, s| !matches!(s, WorkerState::Pinned(t) if !quotas.contains_key(t)));
-        prop_assert_eq!(RulesDocument::parse(&document.write()), Ok(document));
+        prop_assert_eq!(RulesDocument::parse(&document.to_toml()), Ok(document));
     }
 
     #[test]
     fn what_does_not_agree_is_found(a in document(), b in document()) {
-        let (a, b) = (RulesStep::of(&a), RulesStep::of(&b));
+        let (a, b) = (RulesStep::from_document(&a), RulesStep::from_document(&b));
         if let Some(why) = collide(&a, &b) {
-            prop_assert!(a.contradicts(&b).is_some(), "{}", why);
-            prop_assert!(b.contradicts(&a).is_some(), "{}", why);
+            prop_assert!(a.contradiction_with(&b).is_some(), "{}", why);
+            prop_assert!(b.contradiction_with(&a).is_some(), "{}", why);
         }
-        prop_assert_eq!(a.contradicts(&a), None);
+        prop_assert_eq!(a.contradiction_with(&a), None);
     }
 }
--- a/crates/rollout/tests/stored_bytes.rs
+++ b/crates/rollout/tests/stored_bytes.rs
@@ -6,7 +6,7 @@
 use std::fmt::Debug;
 
 use nickelflow_rollout::{
-    CommandError, Degraded, KeyPlacement, LeaseConfig, LeaseGrant, LeaseRequest, PlacementInputs,
+    CommandError, DegradedRules, KeyPlacement, LeaseConfig, LeaseGrant, LeaseRequest, PlacementInputs,
     RolloutState, RulesDocument, RulesStep, Version, WorkerAccess, WorkerState,
 };
 use serde::de::DeserializeOwned;
@@ -82,8 +82,8 @@
     ]
 }
 
-fn careful() -> Degraded {
-    Degraded {
+fn careful() -> DegradedRules {
+    DegradedRules {
         quota_share: 0.25,
         allowed_workers: names(&["w7", "w8"]),
         allows_unlisted_workers: true,
--- a/crates/rollout/tests/text_format.rs
+++ b/crates/rollout/tests/text_format.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-use nickelflow_rollout::{Degraded, RulesDocument, WorkerState};
+use nickelflow_rollout::{DegradedRules, RulesDocument, WorkerState};
 use rstest::rstest;
 
 const RULES: &str = include_str!("data/rules.toml");
@@ -22,7 +22,7 @@
             ("w3".to_owned(), WorkerState::Excluded),
             ("w4".to_owned(), WorkerState::Pinned("seeland".to_owned())),
         ]),
-        degraded: Degraded {
+        degraded: DegradedRules {
             quota_share: 0.5,
             allowed_workers: BTreeSet::from(["w5".to_owned(), "w6".to_owned()]),
             allows_unlisted_workers: false,
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_written_document_equals_the_recorded_file() {
-    assert_recorded("rules.written.toml", WRITTEN, &every_field().write());
+    assert_recorded("rules.written.toml", WRITTEN, &every_field().to_toml());
 }
 
 #[test]
