--- a/crates/dispatcher/tests/quotas.rs
+++ b/crates/dispatcher/tests/quotas.rs
@@ -7,8 +7,8 @@
 /// Quota over use of the median tenant.
 const MARGIN: f64 = 1.4;
 
-/// Returns the share of a tenant's requests that counts as over its quota at one of a hundred dispatchers, where it
-/// sends `factor` times its usual traffic and the others what is usual.
+/// Returns the share of a tenant's requests that counts as over its quota at one of a hundred dispatchers,
+/// where it sends `factor` times its usual traffic and the others what is usual.
 fn over_quota_share(factor: f64) -> f64 {
     let quotas = [165.0, 136.0, 129.0, 129.0, 101.0, 57.0];
     let limits = ServiceLimits {
--- a/crates/dispatcher/tests/scenarios/dispatch.rs
+++ b/crates/dispatcher/tests/scenarios/dispatch.rs
@@ -144,8 +144,8 @@
     assert_eq!(run(), run());
 }
 
-/// With free slots and no memory a worker takes nothing, so that no job of its own completes. Left open, it was not
-/// probed again, and got no work for good.
+/// With free slots and no memory a worker takes nothing, so that no job of its own completes. Left open, it
+/// was not probed again, and got no work for good.
 #[test]
 fn a_worker_short_of_memory_is_probed_and_completed_jobs_free_their_memory() {
     let report = |memory| Some(LoadReport { free_memory: Some(memory), ..free(4.0) });
--- a/crates/dispatcher/tests/scenarios/final_answer.rs
+++ b/crates/dispatcher/tests/scenarios/final_answer.rs
@@ -96,7 +96,8 @@
     assert!(!is_cancelled(0.0, true) && !is_cancelled(0.3, false));
 }
 
-/// A client that sends invalid requests must not eject the workers for all others, nor be sent to each of them.
+/// A client that sends invalid requests must not eject the workers for all others, nor be sent to each of
+/// them.
 #[test]
 fn an_invalid_request_fails_at_once_and_does_not_eject_the_worker() {
     let mut harness = Harness::with_open_workers(
@@ -114,8 +115,8 @@
     assert_eq!(harness.probe_count(0) + harness.probe_count(1), 0, "ejected for the fault of a request");
 }
 
-/// Some clients set a short deadline for a first request. Taken for retries that have used up their time, such
-/// requests were rejected at once though workers were idle.
+/// Some clients set a short deadline for a first request. Taken for retries that have used up their time,
+/// such requests were rejected at once though workers were idle.
 #[test]
 fn a_first_request_with_a_short_deadline_is_not_taken_for_a_late_retry() {
     let mut harness =
--- a/crates/dispatcher/tests/scenarios/health.rs
+++ b/crates/dispatcher/tests/scenarios/health.rs
@@ -81,8 +81,8 @@
     assert!(harness.workers_tried(0).is_empty());
 }
 
-/// A worker that aborts all its attempts has failed once: counted one by one, four attempts kept it ejected for
-/// seconds.
+/// A worker that aborts all its attempts has failed once: counted one by one, four attempts kept it ejected
+/// for seconds.
 #[test]
 fn attempts_that_fail_together_count_as_one_failure() {
     let mut harness =
--- a/crates/dispatcher/tests/scenarios/idempotency.rs
+++ b/crates/dispatcher/tests/scenarios/idempotency.rs
@@ -12,7 +12,8 @@
     has_failed: bool,
 }
 
-/// Returns what follows an attempt with an outcome, where a second worker in another zone and cell is open too.
+/// Returns what follows an attempt with an outcome, where a second worker in another zone and cell is open
+/// too.
 fn after_attempt(idempotency: Idempotency, outcome: Outcome) -> Aftermath {
     let far = WorkerEntry { zone: 1, cell: 1, ..entry(1) };
     let mut harness = Harness::with_open_workers(settings(vec![class(idempotency)]), vec![entry(0)], 4.0);
@@ -105,7 +106,8 @@
 
 #[test]
 fn a_worker_that_has_changed_its_cell_since_an_attempt_gets_no_repeat_in_either_cell() {
-    // Its name has been taken over, or the earlier list was out of date: which of the two cells ran it is not known.
+    // Its name has been taken over, or the earlier list was out of date: which of the two cells ran it is not
+    // known.
     let c = class(Idempotency::IdempotentWithKey(DeduplicationScope::Cell));
     let at = |worker: u32, cell: u32| WorkerEntry { cell, ..entry(worker) };
     let mut harness = Harness::with_open_workers(settings(vec![c]), vec![at(0, 1)], 4.0);
--- a/crates/dispatcher/tests/scenarios/slow_start.rs
+++ b/crates/dispatcher/tests/scenarios/slow_start.rs
@@ -51,8 +51,8 @@
 }
 
 fn assert_a_hundred_dispatchers_use_a_warming_worker(from: u64, seen_busy: bool) {
-    // It has 5 slots, and at 20% does a job of 0.2 s in each every second; with over 3 times that for a second
-    // it fails. All others are full, and each dispatcher has requests for it all the time.
+    // It has 5 slots, and at 20% does a job of 0.2 s in each every second; with over 3 times that for a
+    // second it fails. All others are full, and each dispatcher has requests for it all the time.
     let mut sends = vec![];
     for seed in from..from + 100 {
         let mut harness = one_of_a_hundred(seed);
--- a/crates/dispatcher/tests/slow_start.rs
+++ b/crates/dispatcher/tests/slow_start.rs
@@ -46,8 +46,9 @@
                 let most = (allowed + 2.0 * allowed.sqrt() + 2.0).floor();
                 assert!(drawn > 0.0 && drawn <= allowed / 2.0 + 1e-9);
                 assert!(probability_above(most, drawn) < 1e-4, "{allowed}: {drawn}");
-                // What is in the buckets comes on top: surely all right, or by chance alone. Up to twenty buckets do not
-                // come independently, as that takes them to: what they send is held to the bound in slow_start_fleet.
+                // What is in the buckets comes on top: surely all right, or by chance alone. Up to twenty
+                // buckets do not come independently, as that takes them to: what they send is held to the
+                // bound in slow_start_fleet.
                 let sure = 1.5 * bucket + f64::from(dispatchers) <= most + 1e-9;
                 let by_chance = probability_above(most, 1.5 * bucket) < 1e-4;
                 assert!(bucket > 0.0 && bucket <= allowed / 2.0 + 1e-9);
@@ -103,7 +104,8 @@
 
 #[test]
 fn jobs_that_still_run_count_beside_the_short_ones_that_have_ended() {
-    // Half of the jobs take 0.1 s and half 3.9 s, 2 s on average; a second after they came only short ones have ended.
+    // Half of the jobs take 0.1 s and half 3.9 s, 2 s on average; a second after they came only short ones
+    // have ended.
     let mut time = MeanServiceTime::new(6 * S);
     for _ in 0..100 {
         time.job_began(0);
@@ -154,8 +156,8 @@
 
 #[test]
 fn the_number_of_admitted_jobs_follows_the_rate_and_not_the_requests() {
-    // Dispatchers that ask from once in five seconds to fifty times a second, evenly or all at once, for sixty
-    // warming workers.
+    // Dispatchers that ask from once in five seconds to fifty times a second, evenly or all at once, for
+    // sixty warming workers.
     for per_s in [0.2, 1.0, 5.0, 50.0] {
         for burst in [1, 20] {
             let mut rng = fastrand::Rng::with_seed(3);
--- a/crates/dispatcher/tests/slow_start_fleet/deployment.rs
+++ b/crates/dispatcher/tests/slow_start_fleet/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployments that are played: their settings, jobs and workers.
+//! The deployments that are simulated: their settings, jobs and workers.
 
 use nickelflow_dispatcher::*;
 
@@ -36,7 +36,7 @@
     /// Part of all requests.
     pub share: f64,
     pub work: Work,
-    pub aim_s: f64,
+    pub latency_objective_s: f64,
     pub deadline_s: f64,
 }
 
@@ -53,20 +53,21 @@
 #[derive(Clone, Debug)]
 pub struct Deployment {
     pub name: String,
-    pub cold_from: f64,
-    pub cold_s: f64,
-    pub fall_multiple: f64,
-    pub fall_s: f64,
+    pub slow_start_initial_share: f64,
+    pub slow_start_s: f64,
+    pub overload_multiple: f64,
+    pub overload_s: f64,
     pub classes: Vec<JobClass>,
     pub kinds: [Kind; 2],
-    /// Whether the list tells the kinds apart.
-    pub tells_kinds: bool,
-    pub tells_start: bool,
+    /// Whether the list gives the kinds.
+    pub lists_kinds: bool,
+    pub notifies_job_start: bool,
     pub has_keys: bool,
-    /// Workers in use, and how many of them are replaced by cold ones at one moment.
+    /// Workers in use, and how many of them are replaced by ones that have just started at one moment.
     pub workers: u32,
     pub replaced: u32,
-    /// How long (s) after that the dispatchers have the new list: discovery is down, and then they have it all at once.
+    /// How long (s) after that the dispatchers have the new list: discovery is down, and then they have it
+    /// all at once.
     pub outage_s: f64,
 }
 
@@ -97,7 +98,7 @@
     pub fn settings(&self, dispatchers: u32, total: f64) -> Settings {
         let time = |seconds: f64| (seconds * SECOND) as Nanos;
         let classes = self.classes.iter().map(|job| Class {
-            latency_objective: time(job.aim_s),
+            latency_objective: time(job.latency_objective_s),
             latency_stretch: 2.5,
             deadline: time(job.deadline_s),
             ..class(Idempotency::IdempotentWithKey(DeduplicationScope::All))
@@ -105,42 +106,47 @@
         let mut settings = settings(classes.collect());
         settings.dispatchers = dispatchers;
         settings.tenants = vec![Tenant { quota_per_s: 1.4 * total }];
-        settings.notifies_job_start = self.tells_start;
+        settings.notifies_job_start = self.notifies_job_start;
         settings.limits = ServiceLimits {
-            slow_start_initial_share: self.cold_from,
-            slow_start_duration: time(self.cold_s),
-            overload_multiple: self.fall_multiple,
-            overload_duration: time(self.fall_s),
+            slow_start_initial_share: self.slow_start_initial_share,
+            slow_start_duration: time(self.slow_start_s),
+            overload_multiple: self.overload_multiple,
+            overload_duration: time(self.overload_s),
             unsubscribed_list_validity: 10 * S,
         };
         settings
     }
 }
 
-/// Two slots of each worker's five do a core's work, or nearly so; the list does not tell which is which.
+/// Two slots of each worker's five do a core's work, or nearly so; the list does not say which is which.
 const TABLE_KINDS: [Kind; 2] =
     [Kind { slots: 5, cores: 5.0, speed: 0.65 }, Kind { slots: 5, cores: 5.0, speed: 0.95 }];
 
 fn of_table(
     name: &str,
-    cold: (f64, f64),
-    fall: (f64, f64),
+    slow_start: (f64, f64),
+    overload: (f64, f64),
     times: (f64, f64),
     work: (f64, f64),
 ) -> Deployment {
-    let (cold_from, cold_s) = cold;
-    let (fall_multiple, fall_s) = fall;
-    let (aim_s, deadline_s) = times;
+    let (slow_start_initial_share, slow_start_s) = slow_start;
+    let (overload_multiple, overload_s) = overload;
+    let (latency_objective_s, deadline_s) = times;
     Deployment {
         name: name.into(),
-        cold_from,
-        cold_s,
-        fall_multiple,
-        fall_s,
-        classes: vec![JobClass { share: 1.0, work: Work::LogUniform(work.0, work.1), aim_s, deadline_s }],
+        slow_start_initial_share,
+        slow_start_s,
+        overload_multiple,
+        overload_s,
+        classes: vec![JobClass {
+            share: 1.0,
+            work: Work::LogUniform(work.0, work.1),
+            latency_objective_s,
+            deadline_s,
+        }],
         kinds: TABLE_KINDS,
-        tells_kinds: false,
-        tells_start: true,
+        lists_kinds: false,
+        notifies_job_start: true,
         has_keys: true,
         workers: 24,
         replaced: 8,
@@ -178,8 +184,13 @@
     let classes = shares.iter().map(|share| {
         let mean = between(rng, 0.05, 1.5);
         let work = Work::LogNormal(mean, between(rng, 0.3, 2.8));
-        let aim_s = mean * between(rng, 0.08, 2.0);
-        JobClass { share: share / all, work, aim_s, deadline_s: (mean * between(rng, 7.0, 25.0)).max(2.0) }
+        let latency_objective_s = mean * between(rng, 0.08, 2.0);
+        JobClass {
+            share: share / all,
+            work,
+            latency_objective_s,
+            deadline_s: (mean * between(rng, 7.0, 25.0)).max(2.0),
+        }
     });
     let classes: Vec<JobClass> = classes.collect();
     let slots_per_core = between(rng, 1.0, 3.5);
@@ -192,14 +203,14 @@
     let workers = between(rng, 24.0, 400.0) as u32;
     Deployment {
         name: format!("drawn {number}"),
-        cold_from: between(rng, 0.08, 0.5),
-        cold_s: between(rng, 4.0, 24.0),
-        fall_multiple: between(rng, 1.5, 3.0),
-        fall_s: between(rng, 0.5, 2.0),
+        slow_start_initial_share: between(rng, 0.08, 0.5),
+        slow_start_s: between(rng, 4.0, 24.0),
+        overload_multiple: between(rng, 1.5, 3.0),
+        overload_s: between(rng, 0.5, 2.0),
         classes,
         kinds,
-        tells_kinds: true,
-        tells_start: rng.bool(),
+        lists_kinds: true,
+        notifies_job_start: rng.bool(),
         has_keys: rng.bool(),
         workers,
         replaced: (f64::from(workers) * between(rng, 0.15, 0.6)) as u32,
--- a/crates/dispatcher/tests/slow_start_fleet/main.rs
+++ b/crates/dispatcher/tests/slow_start_fleet/main.rs
@@ -1,23 +1,24 @@
 //! What all dispatchers of a fleet together send to workers that have just started, in virtual time.
 //!
 //! Real `Dispatcher`s, and stand-ins for the rest: workers with slots, a queue, a capacity that rises from
-//! `cold_from` to all of it and a report that is the same for all for a second; clients whose requests come at
-//! random and who come again, at another dispatcher, after a refusal, a failure or the end of their dispatcher.
-//! A third of the workers is replaced by cold ones at one moment.
+//! `slow_start_initial_share` to all of it and a report that is the same for all for a second; clients whose
+//! requests come at random and who come again, at another dispatcher, after a refusal, a failure or the end
+//! of their dispatcher. A third of the workers is replaced by ones that have just started at one moment.
 //!
-//! A cold worker falls when, in a time `fall`, it gets more than `N + 2 * sqrt(N) + 2` calls; `N` is what the
-//! settings allow it: `fall_multiple` times its capacity times `fall`, in requests of mean work. Each window
-//! that begins with a call is judged by the capacity at its beginning, when it is least. A figure is
-//! `(calls - N) / (2 * sqrt(N) + 2)`, and must not be above 1.
+//! A warming worker fails when, in a time `overload_s`, it gets more than `N + 2 * sqrt(N) + 2` calls; `N` is
+//! what the settings allow it: `overload_multiple` times its capacity times `overload_s`, in requests of mean
+//! work. Each window that begins with a call is judged by the capacity at its beginning, when it is least. A
+//! figure is `(calls - N) / (2 * sqrt(N) + 2)`, and must not be above 1.
 //!
 //! One seed and three sizes of each case run by default. The whole table, with a hundred seeds of each:
-//! `COLD_FLEET_SEEDS=100 COLD_FLEET_SIZES=2,5,20,30,100,300 cargo test -p nickelflow --test cold_fleet --
-//! --nocapture --test-threads 3`; `COLD_FLEET_SEEDS=50,100` are the seeds from 50 to 99. Each line is: deployment,
-//! load, keys, dispatchers, traffic, dispatchers that change; the worst figure of calls, and of calls and probes
-//! together; the part of the budget that is used, in all and in the first quarter; the part that is served.
+//! `SLOW_START_FLEET_SEEDS=100 SLOW_START_FLEET_SIZES=2,5,20,30,100,300 cargo test -p nickelflow-dispatcher
+//! --test slow_start_fleet -- --nocapture --test-threads 3`; `SLOW_START_FLEET_SEEDS=50,100` are the seeds
+//! from 50 to 99. Each line is: deployment, load, keys, dispatchers, traffic, dispatchers that change; the
+//! worst figure of calls, and of calls and probes together; the part of the budget that is used, in all and
+//! in the first quarter; the part that is served.
 //!
-//! Beside the table, drawn deployments: `COLD_FLEET_DRAWS=0,200` plays the numbers from 0 to 199, of which each is
-//! played again by itself with `COLD_FLEET_DRAWS=N,N+1`.
+//! Beside the table, drawn deployments: `SLOW_START_FLEET_DRAWS=0,200` plays the numbers from 0 to 199, of
+//! which each is played again by itself with `SLOW_START_FLEET_DRAWS=N,N+1`.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -28,7 +29,7 @@
 use fleet::{Case, Figures, Fleet};
 use rstest::rstest;
 
-/// All workers but the cold ones are as they were: what a case's seeds come to.
+/// Returns what the seeds of a case come to.
 fn measure(case: &Case, seeds: std::ops::Range<u64>) -> Figures {
     let mut all = Figures { worst_calls: f64::MIN, worst_with_probes: f64::MIN, ..Figures::default() };
     for seed in seeds {
@@ -43,21 +44,21 @@
 }
 
 fn seeds() -> std::ops::Range<u64> {
-    match setting("COLD_FLEET_SEEDS", "1")[..] {
+    match setting("SLOW_START_FLEET_SEEDS", "1")[..] {
         [from, to] => from..to,
         [to] => 0..to,
-        _ => panic!("COLD_FLEET_SEEDS is how many, or the first and the one after the last"),
+        _ => panic!("SLOW_START_FLEET_SEEDS is how many, or the first and the one after the last"),
     }
 }
 
 #[rstest]
-fn what_all_send_to_a_cold_worker_stays_within_its_budget(
+fn what_all_dispatchers_send_to_a_warming_worker_stays_within_its_budget(
     #[values(short_jobs(), long_jobs(), quick_jobs())] deployment: Deployment,
     #[values((0.7, false), (0.7, true), (1.3, false))] traffic: (f64, bool),
 ) {
     let (load, hot_keys) = traffic;
     let mut over = vec![];
-    for dispatchers in setting("COLD_FLEET_SIZES", "2,5,20,100").into_iter().map(|n| n as u32) {
+    for dispatchers in setting("SLOW_START_FLEET_SIZES", "2,5,20,100").into_iter().map(|n| n as u32) {
         for (uneven, churn) in [(false, false), (true, false), (false, true), (true, true)] {
             let case = Case { deployment: deployment.clone(), dispatchers, uneven, churn, load, hot_keys };
             let f = measure(&case, seeds());
@@ -84,7 +85,9 @@
 
 /// Without a limit of what each sends, a hundred sent long jobs up to 1.2 times what is put down to chance.
 #[rstest]
-fn a_hundred_in_an_overrun_fleet_do_not_push_a_cold_worker_over(#[values(false, true)] uneven: bool) {
+fn a_hundred_dispatchers_of_an_overloaded_fleet_do_not_overload_a_warming_worker(
+    #[values(false, true)] uneven: bool,
+) {
     let traffic =
         Case { deployment: long_jobs(), dispatchers: 100, uneven, churn: false, load: 1.3, hot_keys: false };
     let figures = measure(&traffic, 0..8);
@@ -111,8 +114,8 @@
 const MOST_JOBS_PER_S: f64 = 800.0;
 
 #[test]
-fn in_drawn_deployments_all_together_stay_within_the_budget() {
-    let range = setting("COLD_FLEET_DRAWS", "0,16");
+fn in_drawn_deployments_all_dispatchers_together_stay_within_the_budget() {
+    let range = setting("SLOW_START_FLEET_DRAWS", "0,16");
     let mut over = vec![];
     for number in range[0]..range[1] {
         let case = drawn_case(number);
