--- a/crates/dispatcher/tests/properties.rs
+++ b/crates/dispatcher/tests/properties.rs
@@ -260,7 +260,6 @@
         WorkerEntry { status, started, ..listed_entry(worker) }
     }
 
-    #[allow(clippy::too_many_lines)] // Left over: to be split.
     fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
             Step::Request(step) => self.request(step),
