--- a/crates/daemon/src/acceptor.rs
+++ b/crates/daemon/src/acceptor.rs
@@ -22,11 +22,12 @@
 use tokio::time::{sleep_until, timeout};
 use tracing::{debug, warn};
 
-use crate::client_connection::{Visit, IDLE_RANK, LAST_HEAD};
-use crate::counters::Shared;
-use crate::job_handler::Front;
+use crate::client_connection::{ClientConnection, IDLE_RANK, LAST_HEAD};
+use crate::counters::SharedCounters;
+use crate::early_rejection::EarlyRejection;
+use crate::job_handler::JobHandler;
 use crate::listen::{is_shortage, BACKLOG};
-use crate::request_reader::{Inlet, Refusal, LARGEST_BODY, LARGEST_HEAD};
+use crate::request_reader::{ClientStream, LARGEST_BODY, LARGEST_HEAD};
 use crate::shutdown::Shutdown;
 use crate::throttle::Throttle;
 use crate::violations;
@@ -42,108 +43,117 @@
 const DRAINED: usize = 256 << 10;
 const DRAIN: Duration = Duration::from_millis(500);
 
-const TOO_SLOW: Refusal = Refusal(StatusCode::REQUEST_TIMEOUT, "request not whole in time");
-const CROWDED: Refusal = Refusal(StatusCode::SERVICE_UNAVAILABLE, "too many connections");
+const TOO_SLOW: EarlyRejection =
+    EarlyRejection::new(StatusCode::REQUEST_TIMEOUT, "request not whole in time");
+const TOO_MANY_CONNECTIONS: EarlyRejection =
+    EarlyRejection::new(StatusCode::SERVICE_UNAVAILABLE, "too many connections");
 
 /// The connections of service clients.
-struct Places {
+struct ConnectionSlots {
     most: usize,
     /// Connections beyond these, while those that have been shed for them are closing.
     spare: usize,
-    counters: Shared,
-    held: Mutex<Held>,
+    counters: SharedCounters,
+    occupied: Mutex<OccupiedSlots>,
     freed: Notify,
 }
 
 #[derive(Default)]
-struct Held {
+struct OccupiedSlots {
     next: u64,
-    visits: HashMap<u64, Arc<Visit>>,
+    connections: HashMap<u64, Arc<ClientConnection>>,
 }
 
 /// One place; dropped, it is free.
-struct Place {
-    places: Arc<Places>,
+struct ConnectionSlot {
+    slots: Arc<ConnectionSlots>,
     number: u64,
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.places.held().visits.remove(&self.number);
-        self.places.freed.notify_one();
+        self.slots.occupied().connections.remove(&self.number);
+        self.slots.freed.notify_one();
     }
 }
 
-impl Places {
-    fn held(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+impl ConnectionSlots {
+    fn occupied(&self) -> MutexGuard<'_, OccupiedSlots> {
+        self.occupied.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn crowded(&self) -> bool {
-        self.held().visits.len() >= self.most + self.spare
+        self.occupied().connections.len() >= self.most + self.spare
     }
 
     /// A place for a newcomer, for which another may be told to go; `None` if all are in use.
-    fn take(self: &Arc<Self>, visit: &Arc<Visit>) -> Option<Place> {
-        let mut held = self.held();
-        if held.visits.len() >= self.most + self.spare {
+    fn take(self: &Arc<Self>, client_connection: &Arc<ClientConnection>) -> Option<ConnectionSlot> {
+        let mut occupied = self.occupied();
+        if occupied.connections.len() >= self.most + self.spare {
             // Nor is another told to go for one that gets no place.
             return None;
         }
-        let idle = held.visits.values().filter_map(|visit| Some((visit.rank()?, visit)));
+        let idle = occupied
+            .connections
+            .values()
+            .filter_map(|client_connection| Some((client_connection.rank()?, client_connection)));
         let idle: Vec<_> = idle.filter(|((rank, _), _)| *rank == IDLE_RANK).collect();
         if idle.len() > self.most / IDLE_PART {
             idle.iter().min_by_key(|(rank, _)| *rank)?.1.tell_to_end();
             self.counters.shed.add();
         }
-        let staying = held.visits.values().filter(|visit| !visit.shedding()).count();
+        let staying =
+            occupied.connections.values().filter(|client_connection| !client_connection.shedding()).count();
         if staying >= self.most {
-            let ranked = held.visits.values().filter_map(|visit| Some((visit.rank()?, visit)));
+            let ranked = occupied
+                .connections
+                .values()
+                .filter_map(|client_connection| Some((client_connection.rank()?, client_connection)));
             ranked.min_by_key(|(rank, _)| *rank)?.1.tell_to_end();
             self.counters.shed.add();
         }
-        let number = held.next;
-        held.next += 1;
-        held.visits.insert(number, visit.clone());
-        Some(Place { places: self.clone(), number })
+        let number = occupied.next;
+        occupied.next += 1;
+        occupied.connections.insert(number, client_connection.clone());
+        Some(ConnectionSlot { slots: self.clone(), number })
     }
 
     async fn empty(&self) {
-        while !self.held().visits.is_empty() {
+        while !self.occupied().connections.is_empty() {
             self.freed.notified().await;
         }
     }
 }
 
 /// Accepts client connections until the shutdown has closed the door; returns when all have ended.
-pub async fn serve(listener: TcpListener, front: Front, descriptors: Descriptors) {
-    let places = Arc::new(Places {
+pub async fn serve(listener: TcpListener, handler: JobHandler, descriptors: Descriptors) {
+    let slots = Arc::new(ConnectionSlots {
         most: descriptors.clients,
         spare: descriptors.closing,
-        counters: front.counters.clone(),
-        held: Mutex::default(),
+        counters: handler.counters.clone(),
+        occupied: Mutex::default(),
         freed: Notify::new(),
     });
     let mut shortages = Throttle::default();
     // Not by `select` alone: clients that come without a break, or an accept that always fails, would hide the close.
-    while !front.shutdown.is_closing() {
+    while !handler.shutdown.is_closing() {
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
-            () = front.shutdown.closing() => break,
+            () = handler.shutdown.closing() => break,
         };
         match accepted {
-            Ok((stream, _)) => admit(stream, &front, &places).await,
+            Ok((stream, _)) => admit(stream, &handler, &slots).await,
             Err(error) => {
-                front.counters.accept_errors.add();
+                handler.counters.accept_errors.add();
                 if !concerns_one_client(&error) {
-                    pause_accepting(&error, &mut shortages, &front.shutdown).await;
+                    pause_accepting(&error, &mut shortages, &handler.shutdown).await;
                 }
             }
         }
     }
-    empty_backlog(listener, &front, &places).await;
-    places.empty().await;
+    empty_backlog(listener, &handler, &slots).await;
+    slots.empty().await;
 }
 
 /// Whether accept has failed for the client that it was to take, or for a signal: the next may well be taken.
@@ -178,14 +188,14 @@
 
 /// Takes what has come before the door closes: closing the listener would reset it. No more than the backlog holds, and
 /// where descriptors are short, for no longer than a head may take.
-async fn empty_backlog(listener: TcpListener, front: &Front, places: &Arc<Places>) {
+async fn empty_backlog(listener: TcpListener, handler: &JobHandler, slots: &Arc<ConnectionSlots>) {
     let Ok(listener) = listener.into_std() else { return };
     let until = Instant::now() + LAST_HEAD;
     for _ in 0..BACKLOG {
         match listener.accept() {
             Ok((stream, _)) => {
                 if let Ok(stream) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
-                    admit(stream, front, places).await;
+                    admit(stream, handler, slots).await;
                 }
             }
             Err(error) if concerns_one_client(&error) => {}
@@ -198,18 +208,20 @@
 }
 
 /// Finds a place for a new client, or turns it away.
-async fn admit(stream: TcpStream, front: &Front, places: &Arc<Places>) {
-    front.counters.accepted.add();
+async fn admit(stream: TcpStream, handler: &JobHandler, slots: &Arc<ConnectionSlots>) {
+    handler.counters.accepted.add();
     let _ = stream.set_nodelay(true);
-    let visit = Visit::begin();
-    if places.crowded() {
+    let client_connection = ClientConnection::begin();
+    if slots.crowded() {
         // Those that have been shed get to close first.
         tokio::task::yield_now().await;
     }
-    match places.take(&visit) {
-        Some(place) => drop(tokio::spawn(connection(stream, Front { visit, ..front.clone() }, place))),
+    match slots.take(&client_connection) {
+        Some(slot) => {
+            drop(tokio::spawn(connection(stream, JobHandler { client_connection, ..handler.clone() }, slot)))
+        }
         None => {
-            front.counters.turned_away.add();
+            handler.counters.turned_away.add();
             turn_away(stream);
             // What is under way goes before those that come again at once.
             tokio::task::yield_now().await;
@@ -222,7 +234,7 @@
     // Not by its readiness: of a connection that was accepted just now nothing is known yet.
     let Ok(mut stream) = stream.into_std() else { return };
     // All of it: a request that is read below and answered in part would be lost.
-    if stream.write_all(&words(CROWDED)).is_err() {
+    if stream.write_all(&TOO_MANY_CONNECTIONS.to_bytes()).is_err() {
         return;
     }
     // Closed over its unread request, the connection is reset, and the answer may go with it.
@@ -238,12 +250,6 @@
     }
 }
 
-/// A whole answer to a request that hyper never gets to see.
-fn words(Refusal(status, why): Refusal) -> Vec<u8> {
-    let length = why.len() + 1;
-    format!("HTTP/1.1 {status}\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{why}\n").into_bytes()
-}
-
 /// Why a client's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CloseReason {
@@ -261,17 +267,18 @@
 
 /// One client connection. It ends by itself, or when its client takes too long over a request or stays away;
 /// told to end, an idle one closes at once, which the protocol allows, and a busy one after its answer.
-async fn connection(stream: TcpStream, front: Front, place: Place) {
-    let (shutdown, counters, visit) = (front.shutdown.clone(), front.counters.clone(), front.visit.clone());
-    debug!(client = visit.number, peer = ?stream.peer_addr().ok(), "client accepted");
-    let mut inlet = Inlet::new(stream, visit.clone());
+async fn connection(stream: TcpStream, handler: JobHandler, slot: ConnectionSlot) {
+    let (shutdown, counters, client_connection) =
+        (handler.shutdown.clone(), handler.counters.clone(), handler.client_connection.clone());
+    debug!(client = client_connection.number, peer = ?stream.peer_addr().ok(), "client accepted");
+    let mut client_stream = ClientStream::new(stream, client_connection.clone());
     let mut connection = http1::Builder::new()
         .max_buf_size(LARGEST_HEAD)
         .header_read_timeout(None)
-        .serve_connection(TokioIo::new(inlet.clone()), TowerToHyperService::new(front));
+        .serve_connection(TokioIo::new(client_stream.clone()), TowerToHyperService::new(handler));
     let mut told = pin!(async {
         tokio::select! {
-            () = visit.shed.notified() => {}
+            () = client_connection.shed.notified() => {}
             () = shutdown.closing() => {}
         }
     });
@@ -281,69 +288,74 @@
         if let Poll::Ready(ended) = connection.poll_without_shutdown(cx) {
             return Poll::Ready(match ended {
                 Err(error) => {
-                    debug!(client = visit.number, %error, "client connection broke");
+                    debug!(client = client_connection.number, %error, "client connection broke");
                     CloseReason::ClientLeft
                 }
-                Ok(()) if inlet.has_ended() => CloseReason::ClientLeft,
+                Ok(()) if client_stream.has_ended() => CloseReason::ClientLeft,
                 Ok(()) if told_at.is_some() => CloseReason::Ending,
                 Ok(()) => CloseReason::LastAnswer,
             });
         }
-        if inlet.poll_gone(cx).is_ready() {
+        if client_stream.poll_gone(cx).is_ready() {
             return Poll::Ready(CloseReason::ClientLeft);
         }
         if told_at.is_none() && told.as_mut().poll(cx).is_ready() {
             told_at = Some(Instant::now());
         }
-        if visit.shedding() && visit.idle() {
+        if client_connection.shedding() && client_connection.idle() {
             return Poll::Ready(CloseReason::Shed);
         }
         // To hyper, which has not seen it, half a head is nothing, and the connection idle.
-        if told_at.is_some() && !closing && !visit.half() {
+        if told_at.is_some() && !closing && !client_connection.half() {
             closing = true;
             Pin::new(&mut connection).graceful_shutdown();
             cx.waker().wake_by_ref();
         }
-        let Some(due) = visit.due(told_at) else { return Poll::Pending };
+        let Some(due) = client_connection.due(told_at) else { return Poll::Pending };
         if timer.deadline() != due.into() {
             timer.as_mut().reset(due.into());
         }
         timer.as_mut().poll(cx).map(|()| CloseReason::TooSlow)
     })
     .await;
-    let request = visit.request();
+    let request = client_connection.request();
     let facts = CloseFacts {
-        has_unanswered_request: visit.busy(),
+        has_unanswered_request: client_connection.busy(),
         // It is answered with the close, below.
         has_partial_request: false,
         // One that does not read has had its time.
-        has_unwritten_response: visit.stuck() && reason == CloseReason::Shed,
+        has_unwritten_response: client_connection.stuck() && reason == CloseReason::Shed,
         client_disconnected: reason == CloseReason::ClientLeft,
     };
     let late = matches!(reason, CloseReason::Shed | CloseReason::TooSlow);
-    debug!(client = visit.number, ?reason, unanswered = ?request, "client closed");
+    debug!(client = client_connection.number, ?reason, unanswered = ?request, "client closed");
     if let Err(denial) = permits::close(facts) {
         let none = HeaderValue::from_static("none");
-        violations::found(&counters, Operation::Close, denial, request.as_ref().unwrap_or(&none));
+        violations::report(&counters, Operation::Close, denial, request.as_ref().unwrap_or(&none));
     }
     // With it goes what it was serving.
     drop(connection);
-    let refusal = match (late, visit.half()) {
-        (true, true) if visit.shedding() => Some(CROWDED),
+    let rejection = match (late, client_connection.half()) {
+        (true, true) if client_connection.shedding() => Some(TOO_MANY_CONNECTIONS),
         (true, true) => Some(TOO_SLOW),
-        _ => visit.refusal(),
+        _ => client_connection.refusal(),
     };
     let close = async {
-        if let Some(refusal) = refusal {
+        if let Some(rejection) = rejection {
             counters.rejected.add();
-            debug!(client = visit.number, status = refusal.0.as_u16(), why = refusal.1, "rejected");
-            inlet.write_all(&words(refusal)).await?;
+            debug!(
+                client = client_connection.number,
+                status = rejection.status.as_u16(),
+                why = rejection.reason,
+                "rejected"
+            );
+            client_stream.write_all(&rejection.to_bytes()).await?;
         }
-        inlet.shutdown().await?;
+        client_stream.shutdown().await?;
         // Another waits for the place of one that is shed.
-        let mut left = if visit.shedding() { 0 } else { DRAINED };
+        let mut left = if client_connection.shedding() { 0 } else { DRAINED };
         while left > 0 {
-            match poll_fn(|cx| inlet.poll_discard(cx)).await? {
+            match poll_fn(|cx| client_stream.poll_discard(cx)).await? {
                 0 => break,
                 n => left = left.saturating_sub(n),
             }
@@ -353,7 +365,7 @@
     // So may it be while it drains.
     tokio::select! {
         _ = timeout(DRAIN, close) => {}
-        () = visit.shed.notified() => {}
+        () = client_connection.shed.notified() => {}
     }
-    drop(place);
+    drop(slot);
 }
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -15,25 +15,27 @@
 use tokio::time::timeout;
 use tracing::{debug, warn};
 
-use crate::config::Links;
-use crate::connection::Written;
-use crate::counters::Shared;
-use crate::line_reader::Lines;
-use crate::scheduler_loop::{End, Execute, Input, Repeats, StopLevel, Under};
+use crate::config::WorkerConnectionConfig;
+use crate::connection::WriteProgress;
+use crate::counters::{outcome_name, SharedCounters};
+use crate::line_reader::LineReader;
+use crate::scheduler_loop::{
+    AttemptId, AttemptRequest, AttemptResult, Event, RetrySafety, RulesLease, StopLevel,
+};
 use crate::violations;
-use crate::worker_answer::{head_outcome, head_report, report_of, State};
-use crate::worker_pool::{settled, Lease, Wanted, WorkerPool};
-use crate::write_guard::{Presence, WriteGuard, HEAD_AGE};
+use crate::worker_answer::{head_outcome, head_report, report_of, WorkerMessage};
+use crate::worker_pool::{settled, CheckedOutConnection, ConnectionPreference, WorkerPool};
+use crate::write_guard::{ClientPresence, WriteGuard, HEAD_AGE};
 
 /// What passes on unchanged, as the bytes that came, and the client that it is from.
-pub struct Parcel {
+pub struct ForwardedRequest {
     pub method: Method,
     pub target: PathAndQuery,
     pub request_id: HeaderValue,
     /// Further headers that go on as they came.
     pub headers: Vec<(HeaderName, HeaderValue)>,
     pub body: Bytes,
-    pub client: Presence,
+    pub client: ClientPresence,
 }
 
 /// The version of the rules that an attempt was decided under; absent where none are agreed on.
@@ -52,40 +54,40 @@
 const REWRITES: u32 = 3;
 
 /// The workers' side of the scheduler: its connections to all of them.
-pub struct Instances {
+pub struct WorkerClient {
     pool: WorkerPool,
-    links: Links,
-    counters: Shared,
-    queue: mpsc::UnboundedSender<Input<Parcel>>,
+    worker_connections: WorkerConnectionConfig,
+    counters: SharedCounters,
+    queue: mpsc::UnboundedSender<Event<ForwardedRequest>>,
 }
 
 /// What is to be known of one attempt.
 struct Attempt {
-    number: (u64, u32),
+    id: AttemptId,
     address: SocketAddr,
-    until: Instant,
+    deadline: Instant,
     stop: watch::Receiver<StopLevel>,
-    under: Option<Under>,
+    rules_lease: Option<RulesLease>,
     /// No byte of it is written from then on, for a repeat's window is over.
-    window: Option<Instant>,
-    repeats: Repeats,
+    send_by: Option<Instant>,
+    retry_safety: RetrySafety,
 }
 
 impl Attempt {
     /// Until when its rules hold.
-    fn lapses(&self) -> Option<Instant> {
-        self.under.as_ref().and_then(|under| under.lapses)
+    fn rules_valid_until(&self) -> Option<Instant> {
+        self.rules_lease.as_ref().and_then(|rules_lease| rules_lease.valid_until)
     }
 
     /// When it is given up while it waits: what is not written by then must not be.
-    fn given_up(&self) -> Instant {
-        [self.window, self.lapses()].into_iter().flatten().fold(self.until, Instant::min)
+    fn give_up_at(&self) -> Instant {
+        [self.send_by, self.rules_valid_until()].into_iter().flatten().fold(self.deadline, Instant::min)
     }
 }
 
 /// Where an attempt has come to, for its line in the log.
 #[derive(Default)]
-struct Trace {
+struct AttemptTrace {
     connection: Option<u64>,
     /// How old a kept connection was; `None` for a new one.
     kept_for: Option<Duration>,
@@ -102,46 +104,47 @@
     }
 }
 
-impl Instances {
+impl WorkerClient {
     /// Makes at most so many connections at a time.
     pub fn new(
         most: usize,
-        links: Links,
-        counters: Shared,
-        queue: mpsc::UnboundedSender<Input<Parcel>>,
+        worker_connections: WorkerConnectionConfig,
+        counters: SharedCounters,
+        queue: mpsc::UnboundedSender<Event<ForwardedRequest>>,
     ) -> Arc<Self> {
-        let pool = WorkerPool::new(most, links, counters.clone());
-        Arc::new(Instances { pool, links, counters, queue })
+        let pool = WorkerPool::new(most, worker_connections, counters.clone());
+        Arc::new(WorkerClient { pool, worker_connections, counters, queue })
     }
 
     /// Makes one attempt and reports its one end, whichever comes first of its own outcome, the module's
     /// cancel and its time running out.
-    pub async fn execute(self: Arc<Self>, execute: Execute<Parcel>) {
-        let Execute { job, attempt, address, until, send_by, stop, under, repeats, parcel } = execute;
-        let (number, window) = ((job, attempt), send_by);
-        let made = Attempt { number, address, until, stop: stop.clone(), under, window, repeats };
-        let mut trace = Trace::default();
+    pub async fn execute(self: Arc<Self>, start: AttemptRequest<ForwardedRequest>) {
+        let AttemptRequest { id, address, deadline, send_by, stop, rules_lease, retry_safety, request } =
+            start;
+        let AttemptId { job, attempt } = id;
+        let made = Attempt { id, address, deadline, stop: stop.clone(), rules_lease, send_by, retry_safety };
+        let mut trace = AttemptTrace::default();
         let (end, tail) = tokio::select! {
             // An end that crosses the cancel counts: what it tells is known.
             biased;
-            done = self.attempt(made, &parcel, &mut trace) => done,
+            done = self.attempt(made, &request, &mut trace) => done,
             () = stopped(stop, StopLevel::Immediate) => (Outcome::Cancelled.into(), None),
-            () = tokio::time::sleep_until(until.into()) => (Outcome::Timeout.into(), None),
+            () = tokio::time::sleep_until(deadline.into()) => (Outcome::Timeout.into(), None),
         };
         debug!(
-            request = ?parcel.request_id,
+            request = ?request.request_id,
             job,
             attempt,
             worker = %address,
             connection = trace.connection,
             kept_ms = trace.kept_for.map(|age| age.as_millis() as u64),
             written = trace.written,
-            outcome = ?end.outcome,
+            outcome = %outcome_name(end.outcome),
             denied = trace.denied.map(Denial::name),
             why = trace.why,
             "attempt ended"
         );
-        let _ = self.queue.send(Input::Ended { job, attempt, end });
+        let _ = self.queue.send(Event::AttemptEnded { id, result: end });
         if let Some((lines, lease)) = tail {
             self.finish(lines, lease).await;
         }
@@ -150,13 +153,17 @@
     async fn attempt(
         &self,
         made: Attempt,
-        parcel: &Parcel,
-        trace: &mut Trace,
-    ) -> (End, Option<(Lines, Lease)>) {
-        let given_up = made.given_up();
+        request: &ForwardedRequest,
+        trace: &mut AttemptTrace,
+    ) -> (AttemptResult, Option<(LineReader, CheckedOutConnection)>) {
+        let give_up_at = made.give_up_at();
         // A kept connection may hold a late answer to what went before, and a job that must not run twice might run
         // twice for it.
-        let mut wanted = if made.repeats == Repeats::Never { Wanted::Settled } else { Wanted::Any };
+        let mut wanted = if made.retry_safety == RetrySafety::Unsafe {
+            ConnectionPreference::Settled
+        } else {
+            ConnectionPreference::Any
+        };
         let mut rewrites = 0;
         let (lease, answer) = loop {
             // Whatever came in while a place or the connection was waited for is heeded before the first byte: a cancel,
@@ -164,8 +171,8 @@
             let lease = tokio::select! {
                 biased;
                 () = stopped(made.stop.clone(), StopLevel::IfUnstarted) => Err(Outcome::NotSent),
-                () = tokio::time::sleep_until(given_up.into()) => Err(Outcome::NotSent),
-                lease = self.pool.lease(made.address, wanted, self.links.connect) => lease,
+                () = tokio::time::sleep_until(give_up_at.into()) => Err(Outcome::NotSent),
+                lease = self.pool.lease(made.address, wanted, self.worker_connections.connect) => lease,
             };
             let mut lease = match lease {
                 Ok(lease) => lease,
@@ -175,10 +182,10 @@
             trace.kept_for = lease.reused.then(|| lease.connection.opened.elapsed());
             let guard = WriteGuard {
                 stop: made.stop.clone(),
-                client: parcel.client.clone(),
-                deadline: made.until,
-                window: made.window,
-                lapses: made.lapses(),
+                client: request.client.clone(),
+                deadline: made.deadline,
+                resend_deadline: made.send_by,
+                rules_valid_until: made.rules_valid_until(),
                 head_read: Instant::now(),
             };
             // A process that stood still, or connected for long, sees here that it is too late.
@@ -187,11 +194,11 @@
                 self.pool.give_back(lease);
                 return (Outcome::NotSent.into(), None);
             }
-            let request = parcel.request(&made, guard.head_read);
-            let sent = lease.connection.send(request, guard).await;
+            let http_request = request.to_http(&made, guard.head_read);
+            let sent = lease.connection.send(http_request, guard).await;
             trace.written = lease.connection.bytes_written();
             if let Some(denial) = lease.connection.violation() {
-                violations::found(&self.counters, Operation::Write, denial, &parcel.request_id);
+                violations::report(&self.counters, Operation::Write, denial, &request.request_id);
             }
             let broken = match sent {
                 Ok(answer) => break (lease, answer),
@@ -199,19 +206,19 @@
             };
             match broken.written {
                 // Too much came between its head and its first byte: it is written anew.
-                Written::Denied(Denial::HeadersOutdated) if rewrites < REWRITES => {
+                WriteProgress::Denied(Denial::HeadersOutdated) if rewrites < REWRITES => {
                     rewrites += 1;
-                    wanted = Wanted::New;
+                    wanted = ConnectionPreference::New;
                 }
-                Written::Denied(denial) => {
+                WriteProgress::Denied(denial) => {
                     trace.denied = Some(denial);
                     return (Outcome::NotSent.into(), None);
                 }
                 // The worker closed it while it was idle and not a byte went out: nothing was sent yet.
-                Written::Nothing if lease.reused => wanted = Wanted::New,
+                WriteProgress::Nothing if lease.reused => wanted = ConnectionPreference::New,
                 written => {
                     trace.why = Some(broken.why);
-                    let whole = written == Written::Whole;
+                    let whole = written == WriteProgress::Complete;
                     if lease.reused && whole {
                         self.pool.distrust();
                     }
@@ -222,15 +229,15 @@
         };
         let (mut outcome, report) = (head_outcome(&answer), head_report(&answer));
         // A head names no job: this one may be of the job before, and proves nothing then.
-        let foreign = !settled(lease.answered) && made.repeats != Repeats::Harmless;
+        let foreign = !settled(lease.answered) && made.retry_safety != RetrySafety::Safe;
         if foreign && outcome.is_some_and(Outcome::never_ran) {
             outcome = Some(Outcome::Reset);
         }
-        let mut lines = Lines::new(answer.into_body(), LONGEST);
+        let mut lines = LineReader::new(answer.into_body(), LONGEST);
         if let Some(outcome) = outcome {
-            return (End { outcome, result: None, report }, Some((lines, lease)));
+            return (AttemptResult { outcome, result: None, report }, Some((lines, lease)));
         }
-        match self.read_lines(&mut lines, &made, parcel).await {
+        match self.read_lines(&mut lines, &made, request).await {
             Ok(mut end) => {
                 end.report = end.report.or(report);
                 (end, Some((lines, lease)))
@@ -244,18 +251,22 @@
 
     /// Reads lines up to the one that ends the attempt; the error is that of an answer that ended or broke before, after
     /// which it may have run.
-    async fn read_lines(&self, lines: &mut Lines, made: &Attempt, parcel: &Parcel) -> Result<End, String> {
-        let (job, attempt) = made.number;
+    async fn read_lines(
+        &self,
+        lines: &mut LineReader,
+        made: &Attempt,
+        request: &ForwardedRequest,
+    ) -> Result<AttemptResult, String> {
         loop {
             let line = lines.next().await?.ok_or("ended before its last line")?;
             if line.iter().all(u8::is_ascii_whitespace) {
                 continue;
             }
-            match State::read(&line, parcel.request_id.as_bytes()) {
-                Ok(State::Going) => drop(self.queue.send(Input::Progress { job, attempt })),
-                Ok(State::Ended(end)) => return Ok(end),
+            match WorkerMessage::read(&line, request.request_id.as_bytes()) {
+                Ok(WorkerMessage::Progress) => drop(self.queue.send(Event::Progress { id: made.id })),
+                Ok(WorkerMessage::Ended(end)) => return Ok(end),
                 Err(why) => {
-                    warn!(address = %made.address, request = ?parcel.request_id, why, "broken line from an instance");
+                    warn!(address = %made.address, request = ?request.request_id, why, "broken line from an instance");
                     return Err(why);
                 }
             }
@@ -263,7 +274,7 @@
     }
 
     /// Reads an answer to its end and keeps the connection.
-    async fn finish(&self, mut lines: Lines, mut lease: Lease) {
+    async fn finish(&self, mut lines: LineReader, mut lease: CheckedOutConnection) {
         let tail = async {
             let mut left = 64;
             while let Ok(line) = lines.next().await {
@@ -283,7 +294,7 @@
     }
 
     /// Asks a worker for its load and reports what came of it.
-    pub async fn probe(self: Arc<Self>, instance: u32, address: SocketAddr) {
+    pub async fn probe(self: Arc<Self>, worker: u32, address: SocketAddr) {
         let began = Instant::now();
         let asked = timeout(PROBE, self.ask_load(address)).await;
         let late = began.elapsed() >= PROBE + STOOD_STILL;
@@ -297,12 +308,12 @@
             // those would end as if it might have run.
             self.pool.forget(address);
         }
-        debug!(instance, ?outcome, ?report, "probed");
-        let _ = self.queue.send(Input::Probed { instance, outcome, report });
+        debug!(instance = worker, outcome = %outcome_name(outcome), ?report, "probed");
+        let _ = self.queue.send(Event::ProbeCompleted { worker, outcome, report });
     }
 
     async fn ask_load(&self, address: SocketAddr) -> (Outcome, Option<LoadReport>) {
-        let mut wanted = Wanted::Any;
+        let mut wanted = ConnectionPreference::Any;
         let (mut lease, answer) = loop {
             let mut lease = match self.pool.lease(address, wanted, PROBE_PATIENCE).await {
                 Ok(lease) => lease,
@@ -313,7 +324,9 @@
             request.headers_mut().insert(HOST, host(address));
             match lease.connection.ask(request).await {
                 Ok(answer) => break (lease, answer),
-                Err(broken) if lease.reused && broken.written == Written::Nothing => wanted = Wanted::New,
+                Err(broken) if lease.reused && broken.written == WriteProgress::Nothing => {
+                    wanted = ConnectionPreference::New
+                }
                 Err(_) => return (Outcome::Reset, None),
             }
         };
@@ -345,8 +358,8 @@
     left.saturating_sub(HEAD_AGE).max(left / 2)
 }
 
-impl Parcel {
-    fn request(&self, made: &Attempt, now: Instant) -> Request<Full<Bytes>> {
+impl ForwardedRequest {
+    fn to_http(&self, made: &Attempt, now: Instant) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = Uri::from(self.target.clone());
@@ -354,8 +367,8 @@
         headers.insert(HOST, host(made.address));
         headers.insert("request-id", self.request_id.clone());
         headers.extend(self.headers.iter().cloned());
-        headers.extend(made.under.as_ref().map(|under| (RULES, under.version.clone())));
-        let told = time_told(made.until.saturating_duration_since(now)).as_secs_f64();
+        headers.extend(made.rules_lease.as_ref().map(|rules_lease| (RULES, rules_lease.version.clone())));
+        let told = time_told(made.deadline.saturating_duration_since(now)).as_secs_f64();
         if let Ok(told) = HeaderValue::try_from(format!("{told:.3}")) {
             headers.insert("request-timeout", told);
         }
--- a/crates/daemon/src/client_connection.rs
+++ b/crates/daemon/src/client_connection.rs
@@ -8,7 +8,7 @@
 use hyper::header::HeaderValue;
 use tokio::sync::Notify;
 
-use crate::request_reader::{Intake, Refusal};
+use crate::early_rejection::EarlyRejection;
 
 /// For how long a client may take over a request, from its first byte or, for the first, from connecting:
 /// one that does not get on is owed an error or a close within 3 s of connecting.
@@ -27,19 +27,24 @@
 /// For how long hyper may take to be done after the last answer.
 const CLOSING: Duration = Duration::from_millis(200);
 
-/// What is known of one client's connection, for its stream, the service behind it, and the front.
-pub struct Visit {
+/// Checks a client's socket for its disconnection.
+pub(crate) trait DisconnectCheck: Send + Sync {
+    /// Returns whether the client has disconnected by now.
+    fn has_disconnected(&self) -> bool;
+}
+
+/// The state of one client's connection, shared by its stream, its request handler and the acceptor.
+pub struct ClientConnection {
     /// Its own number, for logs.
     pub number: u64,
     began: Instant,
-    /// Its stream.
-    intake: OnceLock<Weak<Mutex<Intake>>>,
-    state: Mutex<State>,
+    disconnect_check: OnceLock<Weak<dyn DisconnectCheck>>,
+    state: Mutex<ConnectionState>,
     /// Told to end, so that another finds a place.
     pub shed: Notify,
 }
 
-pub(crate) struct State {
+pub(crate) struct ConnectionState {
     /// Since when a request has been coming in that is not whole yet.
     pub(crate) reading: Option<Instant>,
     /// Whether any byte of it has come.
@@ -59,15 +64,15 @@
     shedding: bool,
     /// Nothing behind the present request is read.
     pub(crate) last: bool,
-    pub(crate) refusal: Option<Refusal>,
+    pub(crate) refusal: Option<EarlyRejection>,
     /// The id of the request that is being served.
     request: Option<HeaderValue>,
 }
 
-impl Visit {
-    pub fn begin() -> Arc<Visit> {
+impl ClientConnection {
+    pub fn begin() -> Arc<ClientConnection> {
         let began = Instant::now();
-        let state = State {
+        let state = ConnectionState {
             reading: Some(began),
             begun: false,
             busy: false,
@@ -85,32 +90,40 @@
         static NUMBERS: AtomicU64 = AtomicU64::new(0);
         let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
         let state = Mutex::new(state);
-        Arc::new(Visit { number, began, intake: OnceLock::new(), state, shed: Notify::new() })
-    }
-
-    /// Tells it its stream.
-    pub(crate) fn reads(&self, intake: &Arc<Mutex<Intake>>) {
-        let _ = self.intake.set(Arc::downgrade(intake));
-    }
-
-    /// Whether its client has left, by a look at the socket now: of what has come since the last wait nobody has been told.
-    pub fn client_left(&self) -> bool {
-        let Some(intake) = self.intake.get() else { return false };
-        let Some(intake) = intake.upgrade() else { return true };
-        let mut intake = intake.lock().unwrap_or_else(PoisonError::into_inner);
-        intake.left_by_now()
+        Arc::new(ClientConnection {
+            number,
+            began,
+            disconnect_check: OnceLock::new(),
+            state,
+            shed: Notify::new(),
+        })
+    }
+
+    /// Sets how the socket is checked for the client's disconnection. Only the first call counts.
+    pub(crate) fn set_disconnect_check(&self, check: Weak<dyn DisconnectCheck>) {
+        let _ = self.disconnect_check.set(check);
+    }
+
+    /// Checks at the socket whether the client has disconnected: what has arrived since the last poll nobody knows yet.
+    pub fn has_disconnected(&self) -> bool {
+        let Some(check) = self.disconnect_check.get() else { return false };
+        match check.upgrade() {
+            Some(check) => check.has_disconnected(),
+            // The stream is closed.
+            None => true,
+        }
     }
 
-    pub(crate) fn state(&self) -> MutexGuard<'_, State> {
+    pub(crate) fn state(&self) -> MutexGuard<'_, ConnectionState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// A call on it is under way until what this gives is dropped.
-    pub fn call(self: &Arc<Self>) -> Call {
+    pub fn call(self: &Arc<Self>) -> ActiveCall {
         let mut state = self.state();
         (state.busy, state.asked) = (true, true);
         drop(state);
-        Call(self.clone())
+        ActiveCall(self.clone())
     }
 
     /// It has brought a job of this id, which is being handed in.
@@ -159,7 +172,7 @@
         state.last
     }
 
-    pub fn refusal(&self) -> Option<Refusal> {
+    pub fn refusal(&self) -> Option<EarlyRejection> {
         self.state().refusal
     }
 
@@ -208,9 +221,9 @@
 }
 
 /// One call under way on a connection.
-pub struct Call(Arc<Visit>);
+pub struct ActiveCall(Arc<ClientConnection>);
 
-impl Drop for Call {
+impl Drop for ActiveCall {
     fn drop(&mut self) {
         let mut state = self.0.state();
         (state.busy, state.passed) = (false, false);
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -5,34 +5,34 @@
 
 use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, ServiceLimits, Settings, Tenant};
 
-use crate::endpoint_list::{EntryNames, List};
+use crate::endpoint_list::{EndpointList, EntryNames};
 use crate::json::{self, Field};
 
 pub struct Config {
-    pub origin: Origin,
+    pub identity: DeploymentIdentity,
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub seed: u64,
     pub sockets: usize,
     pub settings: Settings,
-    pub names: Names,
-    pub links: Links,
+    pub names: SettingNames,
+    pub worker_connections: WorkerConnectionConfig,
     pub entry_names: EntryNames,
     /// The list of instances as this scheduler last had it.
-    pub known: List,
+    pub known: EndpointList,
 }
 
 /// What tells whose file it is: the names in it.
 #[derive(Clone)]
-pub struct Origin {
+pub struct DeploymentIdentity {
     name: Option<String>,
     names: [(&'static str, Vec<String>); 4],
 }
 
-impl Origin {
+impl DeploymentIdentity {
     /// Whether a later file is of the same scheduler and deployment, or what shows that it is not.
-    fn same(&self, later: &Origin) -> Result<(), String> {
+    fn same(&self, later: &DeploymentIdentity) -> Result<(), String> {
         if let (Some(name), Some(other)) = (&self.name, &later.name) {
             if name != other {
                 return Err(format!("name: the file is that of {other}, not of {name}"));
@@ -49,14 +49,14 @@
 }
 
 /// What stands on the sockets for the module's numbers.
-pub struct Names {
+pub struct SettingNames {
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
 }
 
 /// Figures of the connections to instances.
 #[derive(Clone, Copy)]
-pub struct Links {
+pub struct WorkerConnectionConfig {
     pub connect: Duration,
     /// An instance closes a connection that has stood idle this long.
     pub idle: Duration,
@@ -101,18 +101,18 @@
         let entry_names =
             EntryNames { zones: named(settings.opt("zones")?)?, kinds: named(settings.opt("kinds")?)? };
         let known = match root.opt("known")? {
-            Some(known) => List::decode(&known, &entry_names)?,
-            None => List { index: 0, snapshot: true, entries: vec![], skipped: vec![] },
+            Some(known) => EndpointList::decode(&known, &entry_names)?,
+            None => EndpointList { index: 0, snapshot: true, entries: vec![], skipped: vec![] },
         };
         if let Some(why) = known.skipped.first() {
             return Err(why.clone());
         }
         let (caps, contract) = (settings.get("caps")?, settings.get("contract")?);
-        let names = Names {
+        let names = SettingNames {
             classes: named_in(settings.opt("classes")?)?,
             tenants: named_in(settings.opt("customers")?)?,
         };
-        let origin = Origin {
+        let identity = DeploymentIdentity {
             name: root.opt("name")?.map(|name| name.text().map(str::to_owned)).transpose()?,
             names: [
                 ("classes", names.classes.clone()),
@@ -122,7 +122,7 @@
             ],
         };
         Ok(Config {
-            origin,
+            identity,
             name: match env("RELAY_NAME") {
                 Some(name) => name,
                 None => root.get("name")?.text()?.to_owned(),
@@ -133,7 +133,7 @@
                 .map_err(|_| seed.error("must be a hexadecimal number"))?,
             sockets: sockets.unwrap_or(1024),
             names,
-            links: Links {
+            worker_connections: WorkerConnectionConfig {
                 connect: Duration::from_nanos(time(&caps, "connect_timeout_ns", 1_000_000_000)?),
                 idle: Duration::from_nanos(time(&caps, "conn_idle_ns", 10_000_000_000)?),
                 grace: Duration::from_nanos(time(&contract, "stop_sending_within_ns", 500_000_000)?),
@@ -147,10 +147,13 @@
 
 /// What a running scheduler takes from its file when told to read it again: where discovery is. The file must
 /// be sound as a whole and of the same deployment, and goes before `RELAY_DISCOVERY`, which is as old as the process.
-pub fn discovery_again(env: impl Fn(&str) -> Option<String>, running: &Origin) -> Result<SocketAddr, String> {
+pub fn discovery_again(
+    env: impl Fn(&str) -> Option<String>,
+    running: &DeploymentIdentity,
+) -> Result<SocketAddr, String> {
     let env = |name: &str| env(name).filter(|_| name != "RELAY_DISCOVERY");
     let later = Config::load(env)?;
-    running.same(&later.origin)?;
+    running.same(&later.identity)?;
     Ok(later.discovery)
 }
 
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -32,21 +32,21 @@
     pub number: u64,
     pub opened: Instant,
     sender: SendRequest<Full<Bytes>>,
-    out: Arc<Out>,
+    out: Arc<SendState>,
     driver: AbortHandle,
 }
 
 /// What goes out on a connection.
 #[derive(Default)]
-struct Out {
+struct SendState {
     /// Bytes that the kernel has taken.
     written: AtomicU64,
-    attempt: Mutex<Writing>,
+    attempt: Mutex<AttemptWrite>,
 }
 
 /// The attempt that is being written.
 #[derive(Default)]
-struct Writing {
+struct AttemptWrite {
     /// `None` for what is no attempt: probes, and calls to discovery.
     guard: Option<WriteGuard>,
     /// Bytes of it that the kernel has taken.
@@ -57,14 +57,14 @@
     broken: Option<Denial>,
 }
 
-impl Out {
-    fn attempt(&self) -> MutexGuard<'_, Writing> {
+impl SendState {
+    fn attempt(&self) -> MutexGuard<'_, AttemptWrite> {
         self.attempt.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Makes way for another request.
     fn begin(&self, guard: Option<WriteGuard>) {
-        *self.attempt() = Writing { guard, ..Writing::default() };
+        *self.attempt() = AttemptWrite { guard, ..AttemptWrite::default() };
     }
 
     /// Asks for leave to write.
@@ -102,7 +102,7 @@
     /// It failed here for want of something that all connections need: nothing was asked of the other side.
     Shortage(io::Error),
     /// There was no way out, or a signal came: of the other side it says something only if others can be reached.
-    NoWay(io::Error),
+    NoRoute(io::Error),
 }
 
 impl ConnectError {
@@ -118,14 +118,14 @@
         ];
         match error.raw_os_error() {
             _ if is_shortage(&error) => ConnectError::Shortage(error),
-            Some(errno) if NO_WAY.contains(&errno) => ConnectError::NoWay(error),
+            Some(errno) if NO_WAY.contains(&errno) => ConnectError::NoRoute(error),
             _ => ConnectError::Refused(error),
         }
     }
 
     /// Whether trying again soon may well succeed, for it was this side's trouble.
     pub fn is_local(&self) -> bool {
-        matches!(self, ConnectError::Shortage(_) | ConnectError::NoWay(_))
+        matches!(self, ConnectError::Shortage(_) | ConnectError::NoRoute(_))
     }
 }
 
@@ -135,24 +135,27 @@
             ConnectError::Silent => f.write_str("not up in time"),
             ConnectError::Refused(error) => write!(f, "refused: {error}"),
             ConnectError::Shortage(error) => write!(f, "short of what a connection needs: {error}"),
-            ConnectError::NoWay(error) => write!(f, "no way out: {error}"),
+            ConnectError::NoRoute(error) => write!(f, "no way out: {error}"),
         }
     }
 }
 
 /// Why no answer came, and whether the request's last byte had been written by then.
 #[derive(Debug)]
-pub struct Broken {
-    pub written: Written,
+pub struct RequestError {
+    pub written: WriteProgress,
     pub why: String,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Written {
+pub enum WriteProgress {
+    /// No byte has been written.
     Nothing,
-    Part,
-    Whole,
-    /// Not all of it, and no more of it may be.
+    /// Some bytes have been written, but not the last one.
+    Partial,
+    /// All bytes have been written.
+    Complete,
+    /// The last byte has not been written, and no further byte may be.
     Denied(Denial),
 }
 
@@ -164,8 +167,8 @@
             let stream =
                 socket.map_err(ConnectError::of)?.connect(address).await.map_err(ConnectError::of)?;
             stream.set_nodelay(true).map_err(ConnectError::of)?;
-            let out = Arc::<Out>::default();
-            let io = TokioIo::new(Counted { stream, out: out.clone() });
+            let out = Arc::<SendState>::default();
+            let io = TokioIo::new(GuardedStream { stream, out: out.clone() });
             let handshaken = handshake(io).await;
             let (sender, connection) =
                 handshaken.map_err(|e| ConnectError::Refused(io::Error::other(e.to_string())))?;
@@ -191,7 +194,7 @@
     }
 
     /// Asks something that may be asked at any time: a probe, or a call to discovery.
-    pub async fn ask(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Broken> {
+    pub async fn ask(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, RequestError> {
         self.out.begin(None);
         self.exchange(request, None).await
     }
@@ -202,7 +205,7 @@
         &mut self,
         request: Request<Full<Bytes>>,
         guard: WriteGuard,
-    ) -> Result<Response<Incoming>, Broken> {
+    ) -> Result<Response<Incoming>, RequestError> {
         let by = guard.write_by();
         self.out.begin(Some(guard));
         self.exchange(request, by).await
@@ -222,7 +225,7 @@
         &mut self,
         request: Request<Full<Bytes>>,
         by: Option<Instant>,
-    ) -> Result<Response<Incoming>, Broken> {
+    ) -> Result<Response<Incoming>, RequestError> {
         let (whole, out) = (size(&request), self.out.clone());
         let before = out.written.load(Ordering::Relaxed);
         let written = || out.written.load(Ordering::Relaxed) - before;
@@ -250,12 +253,12 @@
         }
         let denied = out.attempt().denied;
         let written = match (bytes, denied) {
-            (n, _) if n >= whole => Written::Whole,
-            (_, Some(denial)) => Written::Denied(denial),
-            (0, None) => Written::Nothing,
-            (_, None) => Written::Part,
+            (n, _) if n >= whole => WriteProgress::Complete,
+            (_, Some(denial)) => WriteProgress::Denied(denial),
+            (0, None) => WriteProgress::Nothing,
+            (_, None) => WriteProgress::Partial,
         };
-        Err(Broken { written, why })
+        Err(RequestError { written, why })
     }
 }
 
@@ -268,12 +271,12 @@
 }
 
 /// A stream that counts the bytes the kernel has taken from it, and asks for leave before it hands them over.
-struct Counted {
+struct GuardedStream {
     stream: TcpStream,
-    out: Arc<Out>,
+    out: Arc<SendState>,
 }
 
-impl Counted {
+impl GuardedStream {
     fn write(
         &mut self,
         mut write: impl FnMut(Pin<&mut TcpStream>) -> Poll<io::Result<usize>>,
@@ -287,13 +290,13 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for GuardedStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         uninterrupted(|| Pin::new(&mut self.stream).poll_read(cx, buf))
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for GuardedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.write(|stream| stream.poll_write(cx, buf))
     }
--- a/crates/daemon/src/counters.rs
+++ b/crates/daemon/src/counters.rs
@@ -36,7 +36,7 @@
     sent_not_sent, cancels, probes, probes_ok, watches, lists, connects, reuses, distrusts, accepted, shed, turned_away, accept_errors, local_failures, violations,
 }
 
-pub type Shared = Arc<Counters>;
+pub type SharedCounters = Arc<Counters>;
 
 #[derive(Default)]
 pub struct Counter(AtomicU64);
@@ -84,3 +84,19 @@
         .add();
     }
 }
+
+/// Returns the name of an outcome in the log. Recorded exchanges and alerts depend on these texts, so they stay when a
+/// variant is renamed.
+pub fn outcome_name(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Ok => "Ok",
+        Outcome::Error => "Error",
+        Outcome::Rejected => "Full",
+        Outcome::InvalidJob => "Unusable",
+        Outcome::Timeout => "Timeout",
+        Outcome::ConnectFailed => "ConnectFailed",
+        Outcome::Reset => "Reset",
+        Outcome::Cancelled => "Cancelled",
+        Outcome::NotSent => "NotSent",
+    }
+}
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -18,10 +18,10 @@
 
 use crate::attempt::host;
 use crate::connection::{ConnectError, Connection};
-use crate::endpoint_list::{EntryNames, List};
+use crate::endpoint_list::{EndpointList, EntryNames};
 use crate::json::{self, Field};
-use crate::line_reader::Lines;
-use crate::scheduler_loop::{Entry, Input};
+use crate::line_reader::LineReader;
+use crate::scheduler_loop::{Event, WorkerEndpoint};
 
 /// Discovery writes at least an empty line this often.
 const HEARTBEAT: Duration = Duration::from_secs(2);
@@ -116,19 +116,19 @@
     pub names: EntryNames,
     pub timing: WatchTiming,
     pub rng: fastrand::Rng,
-    pub queue: mpsc::UnboundedSender<Input<P>>,
+    pub queue: mpsc::UnboundedSender<Event<P>>,
     /// The module's request for a watch; where lists are pushed it makes none.
     pub asked: mpsc::UnboundedReceiver<()>,
 }
 
 /// One object of discovery's, as its lines come: it may be indented over several.
 #[derive(Default)]
-struct Object {
+struct JsonObjectReader {
     bytes: BytesMut,
     nesting: json::Nesting,
 }
 
-impl Object {
+impl JsonObjectReader {
     /// Takes a line; the object, if it is whole with it.
     fn take(&mut self, line: &[u8]) -> Result<Option<BytesMut>, String> {
         let blank = line.iter().all(u8::is_ascii_whitespace);
@@ -168,13 +168,13 @@
 }
 
 /// Up to when the list surely has all that counts as told.
-struct Current {
+struct ListFreshness {
     at: watch::Sender<Instant>,
     /// Nothing was reached since: what discovery has had in the meantime could not be asked for.
     out_of_reach: bool,
 }
 
-impl Current {
+impl ListFreshness {
     /// Discovery has told all it had.
     fn told(&mut self) {
         self.at.send_replace(Instant::now());
@@ -202,11 +202,11 @@
 
 /// Tells the module when the list may be stale, and when it no longer is; until the core has ended.
 async fn watch_age<P>(
-    queue: mpsc::UnboundedSender<Input<P>>,
+    queue: mpsc::UnboundedSender<Event<P>>,
     stale: Duration,
     mut current: watch::Receiver<Instant>,
 ) {
-    let tell = |kind| drop(queue.send(Input::Listed { kind, entries: vec![] }));
+    let tell = |kind| drop(queue.send(Event::WorkerList { kind, entries: vec![] }));
     loop {
         let lapses = *current.borrow_and_update() + stale;
         tokio::select! {
@@ -241,21 +241,21 @@
 }
 
 /// A call that discovery has answered with a watch.
-struct Answered {
+struct EstablishedWatch {
     /// Dropped, it would end the watch.
     _connection: Connection,
     answer: Response<Incoming>,
     waited: Duration,
 }
 
-type Call = Pin<Box<dyn Future<Output = Result<Answered, (WatchEnd, String)>> + Send>>;
+type ActiveCall = Pin<Box<dyn Future<Output = Result<EstablishedWatch, (WatchEnd, String)>> + Send>>;
 
 /// Makes one call, and waits for its answer for as long as it is not dropped.
 async fn ask(
     mut connection: Connection,
     address: SocketAddr,
     since: u64,
-) -> Result<Answered, (WatchEnd, String)> {
+) -> Result<EstablishedWatch, (WatchEnd, String)> {
     let began = Instant::now();
     let failed = |why| (WatchEnd::Failed { waited: began.elapsed() }, why);
     let mut request = Request::new(Full::<Bytes>::default());
@@ -264,13 +264,13 @@
     request.headers_mut().insert(header::HOST, host(address));
     let answer = connection.ask(request).await.map_err(|broken| failed(broken.why))?;
     match answer.status() {
-        StatusCode::OK => Ok(Answered { _connection: connection, answer, waited: began.elapsed() }),
+        StatusCode::OK => Ok(EstablishedWatch { _connection: connection, answer, waited: began.elapsed() }),
         status => Err(failed(format!("status {}", status.as_u16()))),
     }
 }
 
 /// The answer to a call that was made before, if there is one and it is answered with a watch.
-async fn earlier(call: &mut Option<Call>) -> Answered {
+async fn earlier(call: &mut Option<ActiveCall>) -> EstablishedWatch {
     if let Some(waiting) = call {
         match waiting.await {
             Ok(answered) => return answered,
@@ -282,17 +282,17 @@
 }
 
 impl<P> DiscoveryClient<P> {
-    pub async fn run(self, known: List) {
+    pub async fn run(self, known: EndpointList) {
         let (at, age) = watch::channel(Instant::now());
         let (queue, stale, pushed) = (self.queue.clone(), self.timing.stale(), self.timing.pushed);
         tokio::select! {
-            () = self.keep(known, Current { at, out_of_reach: true }) => {}
+            () = self.keep(known, ListFreshness { at, out_of_reach: true }) => {}
             // What an agent has counts as told at once, and what it has not does not.
             () = watch_age(queue, stale, age), if !pushed => {}
         }
     }
 
-    async fn keep(mut self, known: List, mut current: Current) {
+    async fn keep(mut self, known: EndpointList, mut current: ListFreshness) {
         let mut index = known.index;
         self.tell(ListKind::Cached, known.entries);
         let mut moved_at = None;
@@ -326,8 +326,8 @@
         }
     }
 
-    fn tell(&self, kind: ListKind, entries: Vec<Entry>) {
-        let _ = self.queue.send(Input::Listed { kind, entries });
+    fn tell(&self, kind: ListKind, entries: Vec<WorkerEndpoint>) {
+        let _ = self.queue.send(Event::WorkerList { kind, entries });
     }
 
     /// Returns once discovery cannot be reached any more.
@@ -342,7 +342,7 @@
     }
 
     /// A connection to discovery.
-    async fn connect(&self, address: SocketAddr, current: &mut Current) -> Result<Connection, String> {
+    async fn connect(&self, address: SocketAddr, current: &mut ListFreshness) -> Result<Connection, String> {
         let began = Instant::now();
         match Connection::open(address, self.timing.connect()).await {
             Ok(connection) => {
@@ -368,13 +368,13 @@
         &mut self,
         address: SocketAddr,
         since: u64,
-        current: &mut Current,
-    ) -> Result<Answered, (WatchEnd, String)> {
+        current: &mut ListFreshness,
+    ) -> Result<EstablishedWatch, (WatchEnd, String)> {
         let mut first = None;
         loop {
             let connection =
                 self.connect(address, current).await.map_err(|why| (WatchEnd::Unreached, why))?;
-            let mut call: Call = Box::pin(ask(connection, address, since));
+            let mut call: ActiveCall = Box::pin(ask(connection, address, since));
             let lost = tokio::select! {
                 biased;
                 answered = earlier(&mut first) => return Ok(answered),
@@ -409,9 +409,10 @@
         &mut self,
         address: SocketAddr,
         index: &mut u64,
-        current: &mut Current,
+        current: &mut ListFreshness,
     ) -> (WatchEnd, String) {
-        let Answered { _connection, answer, waited } = match self.call(address, *index, current).await {
+        let EstablishedWatch { _connection, answer, waited } = match self.call(address, *index, current).await
+        {
             Ok(answered) => answered,
             Err(lost) => return lost,
         };
@@ -419,8 +420,8 @@
         let since = Instant::now();
         let ended =
             || if since.elapsed() < HEARTBEAT { WatchEnd::Failed { waited } } else { WatchEnd::Ended };
-        let mut lines = Lines::new(answer.into_body(), LONGEST_LINE);
-        let mut object = Object::default();
+        let mut lines = LineReader::new(answer.into_body(), LONGEST_LINE);
+        let mut object = JsonObjectReader::default();
         loop {
             let line = match timeout(self.timing.silent(), lines.next()).await {
                 Ok(Ok(Some(line))) => line,
@@ -430,7 +431,9 @@
             };
             // A broken line may have held changes: the next watch asks for all since the last good one.
             let list = match object.take(&line).and_then(|whole| match whole {
-                Some(bytes) => List::decode(&Field::root(&json::decode(&bytes)?), &self.names).map(Some),
+                Some(bytes) => {
+                    EndpointList::decode(&Field::root(&json::decode(&bytes)?), &self.names).map(Some)
+                }
                 None => Ok(None),
             }) {
                 Ok(Some(list)) => list,
--- a/crates/daemon/src/endpoint_list.rs
+++ b/crates/daemon/src/endpoint_list.rs
@@ -5,7 +5,7 @@
 use nickelflow_engine::WorkerStatus;
 
 use crate::json::Field;
-use crate::scheduler_loop::Entry;
+use crate::scheduler_loop::WorkerEndpoint;
 
 /// The names of zones and types that stand in entries for the module's numbers.
 #[derive(Clone)]
@@ -14,17 +14,17 @@
     pub kinds: Vec<String>,
 }
 
-pub struct List {
+pub struct EndpointList {
     pub index: u64,
     pub snapshot: bool,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<WorkerEndpoint>,
     /// What was wrong with the entries that were left out.
     pub skipped: Vec<String>,
 }
 
-impl List {
+impl EndpointList {
     /// Reads one object of discovery's form.
-    pub fn decode(list: &Field, names: &EntryNames) -> Result<List, String> {
+    pub fn decode(list: &Field, names: &EntryNames) -> Result<EndpointList, String> {
         let (mut entries, mut skipped) = (vec![], vec![]);
         for field in list.get("endpoints")?.items()? {
             match entry(&field, names) {
@@ -33,16 +33,17 @@
             }
         }
         let snapshot = list.opt("snapshot")?.map_or(Ok(false), |s| s.flag())?;
-        let unlike = |e: &Entry| e.zone as usize == names.zones.len() && e.kind as usize == names.kinds.len();
+        let unlike =
+            |e: &WorkerEndpoint| e.zone as usize == names.zones.len() && e.kind as usize == names.kinds.len();
         let named = !names.zones.is_empty() && !names.kinds.is_empty() && !entries.is_empty();
         if snapshot && named && entries.iter().all(unlike) {
             return Err(list.error("names no zone and no type of the settings: it is another deployment's"));
         }
-        Ok(List { index: list.get("index")?.whole()?, snapshot, entries, skipped })
+        Ok(EndpointList { index: list.get("index")?.whole()?, snapshot, entries, skipped })
     }
 }
 
-fn entry(field: &Field, names: &EntryNames) -> Result<Entry, String> {
+fn entry(field: &Field, names: &EntryNames) -> Result<WorkerEndpoint, String> {
     let statuses =
         [("active", WorkerStatus::Ready), ("leaving", WorkerStatus::Draining), ("left", WorkerStatus::Gone)];
     let membership = field.get("status")?.word(&statuses)?;
@@ -64,7 +65,7 @@
         (None, _) => nowhere,
     };
     let since: u64 = field.opt("since_ms")?.map_or(Ok(0), |since| since.whole())?;
-    Ok(Entry {
+    Ok(WorkerEndpoint {
         name: field.get("name")?.text()?.to_owned(),
         address,
         zone: number("zone", &names.zones)?,
--- a/crates/daemon/src/job_handler.rs
+++ b/crates/daemon/src/job_handler.rs
@@ -19,14 +19,14 @@
 use tower::Service;
 use tracing::debug;
 
-use crate::attempt::Parcel;
-use crate::client_connection::Visit;
-use crate::config::Names;
-use crate::counters::Shared;
+use crate::attempt::ForwardedRequest;
+use crate::client_connection::ClientConnection;
+use crate::config::SettingNames;
+use crate::counters::SharedCounters;
 use crate::request_reader::LARGEST_BODY;
-use crate::scheduler_loop::{Answer, Entrance, Job};
+use crate::scheduler_loop::{FinalAnswer, JobQueue, SubmittedJob};
 use crate::shutdown::Shutdown;
-use crate::write_guard::Presence;
+use crate::write_guard::ClientPresence;
 
 /// The longest wait that a client may ask for.
 const LONGEST_WAIT: f64 = 3600.0;
@@ -35,40 +35,40 @@
 
 /// The service behind every client connection.
 #[derive(Clone)]
-pub struct Front {
-    pub names: Arc<Names>,
-    pub entrance: Entrance<Parcel>,
-    pub counters: Shared,
+pub struct JobHandler {
+    pub names: Arc<SettingNames>,
+    pub job_queue: JobQueue<ForwardedRequest>,
+    pub counters: SharedCounters,
     pub shutdown: Shutdown,
     /// The ids of all requests that are open here.
-    pub open: OpenIds,
+    pub open: OpenRequestIds,
     /// The connection that it serves.
-    pub visit: Arc<Visit>,
+    pub client_connection: Arc<ClientConnection>,
 }
 
 #[derive(Clone, Default)]
-pub struct OpenIds(Arc<Mutex<HashSet<HeaderValue>>>);
+pub struct OpenRequestIds(Arc<Mutex<HashSet<HeaderValue>>>);
 
-impl OpenIds {
+impl OpenRequestIds {
     fn ids(&self) -> MutexGuard<'_, HashSet<HeaderValue>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Opens an id until what this gives is dropped; `None` if it is open already.
-    fn open(&self, id: &HeaderValue) -> Option<OpenId> {
-        self.ids().insert(id.clone()).then(|| OpenId(self.clone(), id.clone()))
+    fn open(&self, id: &HeaderValue) -> Option<OpenRequestId> {
+        self.ids().insert(id.clone()).then(|| OpenRequestId(self.clone(), id.clone()))
     }
 }
 
-struct OpenId(OpenIds, HeaderValue);
+struct OpenRequestId(OpenRequestIds, HeaderValue);
 
-impl Drop for OpenId {
+impl Drop for OpenRequestId {
     fn drop(&mut self) {
         self.0.ids().remove(&self.1);
     }
 }
 
-impl Service<Request<Incoming>> for Front {
+impl Service<Request<Incoming>> for JobHandler {
     type Response = Reply;
     type Error = Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Reply, Infallible>> + Send>>;
@@ -78,12 +78,12 @@
     }
 
     fn call(&mut self, request: Request<Incoming>) -> Self::Future {
-        let front = self.clone();
-        let call = self.visit.call();
+        let handler = self.clone();
+        let call = self.client_connection.call();
         Box::pin(async move {
-            let mut reply = front.serve(request).await;
+            let mut reply = handler.serve(request).await;
             // What comes behind a request that is not whole cannot be told from its body.
-            if front.visit.answered() {
+            if handler.client_connection.answered() {
                 reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             drop(call);
@@ -104,7 +104,7 @@
     }
 }
 
-impl Front {
+impl JobHandler {
     async fn serve(&self, request: Request<Incoming>) -> Reply {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/healthz") => self.health(),
@@ -117,7 +117,7 @@
     }
 
     fn health(&self) -> Reply {
-        if self.entrance.open() && !self.shutdown.begun() {
+        if self.job_queue.is_open() && !self.shutdown.begun() {
             reply(StatusCode::OK, "ok\n")
         } else {
             reply(StatusCode::SERVICE_UNAVAILABLE, "not serving\n")
@@ -126,7 +126,7 @@
 
     fn reject(&self, Rejection { status, why }: Rejection) -> Reply {
         self.counters.rejected.add();
-        debug!(client = self.visit.number, status = status.as_u16(), why, "rejected");
+        debug!(client = self.client_connection.number, status = status.as_u16(), why, "rejected");
         reply(status, why + "\n")
     }
 
@@ -135,22 +135,22 @@
         let (parts, body) = request.into_parts();
         let job = self.read(parts, came).map_err(|why| Rejection::new(StatusCode::BAD_REQUEST, why));
         // Where the answer is known, a body that is not there yet is not waited for.
-        let mut job = if self.visit.whole() { job } else { Ok(job?) }?;
-        job.parcel.body = self.body(body).await?;
-        let id = self.open.open(&job.parcel.request_id);
+        let mut job = if self.client_connection.whole() { job } else { Ok(job?) }?;
+        job.request.body = self.body(body).await?;
+        let id = self.open.open(&job.request.request_id);
         // Sent on, an instance could not tell the two apart.
         let _id = id.ok_or(Rejection::new(StatusCode::CONFLICT, "request-id: open already"))?;
         if permits::admit(Instant::now(), self.shutdown.answered_by()).is_err() {
             return Err(Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "ending"));
         }
-        let request_id = job.parcel.request_id.clone();
-        self.visit.prove(&request_id);
-        let answer = self.entrance.submit(job).await;
-        debug!(client = self.visit.number, request = ?request_id, answer = answer.name(), "final answer");
+        let request_id = job.request.request_id.clone();
+        self.client_connection.prove(&request_id);
+        let answer = self.job_queue.submit(job).await;
+        debug!(client = self.client_connection.number, request = ?request_id, answer = answer.name(), "final answer");
         Ok(match answer {
-            Answer::Served(result) => reply(StatusCode::OK, result),
-            Answer::Rejected { retry_after } => refused(retry_after),
-            Answer::Failed => reply(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
+            FinalAnswer::Served(result) => reply(StatusCode::OK, result),
+            FinalAnswer::Rejected { retry_after } => refused(retry_after),
+            FinalAnswer::Failed => reply(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
         })
     }
 
@@ -161,7 +161,7 @@
             return Err(too_large());
         }
         let whole = Limited::new(body, LARGEST_BODY as usize).collect();
-        let whole = timeout_at(self.visit.whole_by().into(), whole);
+        let whole = timeout_at(self.client_connection.whole_by().into(), whole);
         let whole = tokio::select! {
             whole = whole => whole,
             () = self.shutdown.over() => {
@@ -177,7 +177,7 @@
     }
 
     /// Takes out of the head what the decisions need; the rest goes on as it came.
-    fn read(&self, parts: Parts, came: Instant) -> Result<Job<Parcel>, String> {
+    fn read(&self, parts: Parts, came: Instant) -> Result<SubmittedJob<ForwardedRequest>, String> {
         let headers = &parts.headers;
         let request_id = one(headers, "request-id")?.ok_or("request-id: missing")?.clone();
         if request_id.is_empty() {
@@ -196,29 +196,29 @@
         let wait = text(headers, "request-timeout")?.ok_or("request-timeout: missing")?;
         let wait = wait.parse::<f64>().ok().filter(|wait| *wait > 0.0 && *wait <= LONGEST_WAIT);
         let wait = Duration::from_secs_f64(wait.ok_or("request-timeout: must be seconds above 0")?);
-        let extras = Extras::read(text(headers, "request-info")?.unwrap_or_default())?;
+        let extras = RequestInfo::read(text(headers, "request-info")?.unwrap_or_default())?;
         let query = parts.uri.query().unwrap_or_default();
         let key = query.split('&').find_map(|pair| pair.strip_prefix("obj="));
         let passed = [HeaderName::from_static("idempotency-key"), CONTENT_TYPE];
         let passed = passed.into_iter().filter_map(|name| Some((name.clone(), headers.get(name)?.clone())));
-        Ok(Job {
+        Ok(SubmittedJob {
             request_id: request_id.clone(),
             class: class.ok_or("request-class: unknown")? as u32,
             tenant,
             slots: extras.slots,
             memory: extras.memory,
             key: key.filter(|key| !key.is_empty()).map(|key| hash(key.as_bytes())),
-            retry: text(headers, "client-retry")? == Some("1"),
+            is_retry: text(headers, "client-retry")? == Some("1"),
             deadline: came + wait,
-            parcel: Parcel {
+            request: ForwardedRequest {
                 method: parts.method,
                 target: parts.uri.path_and_query().cloned().ok_or("no path")?,
                 request_id,
                 headers: passed.collect(),
                 body: Bytes::new(),
                 client: {
-                    let visit = self.visit.clone();
-                    Presence::new(move || visit.client_left())
+                    let client_connection = self.client_connection.clone();
+                    ClientPresence::new(move || client_connection.has_disconnected())
                 },
             },
         })
@@ -241,14 +241,14 @@
 
 /// The further figures of a job. The sockets name them by what they are, not as the simulator does: read by
 /// the wrong names, every job looks as if it needed no memory.
-struct Extras {
+struct RequestInfo {
     slots: f64,
     memory: f64,
 }
 
-impl Extras {
-    fn read(info: &str) -> Result<Extras, String> {
-        let mut extras = Extras { slots: 1.0, memory: 0.0 };
+impl RequestInfo {
+    fn read(info: &str) -> Result<RequestInfo, String> {
+        let mut extras = RequestInfo { slots: 1.0, memory: 0.0 };
         for pair in info.split(',').filter(|pair| !pair.trim().is_empty()) {
             let (name, value) = pair.split_once('=').ok_or("request-info: must be name=value")?;
             let figure = match name.trim() {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -9,6 +9,7 @@
 mod connection;
 pub mod counters;
 pub mod discovery;
+mod early_rejection;
 pub mod endpoint_list;
 mod interrupted;
 pub mod job_handler;
@@ -34,13 +35,13 @@
 use tokio::sync::{mpsc, watch};
 use tracing::info;
 
-use crate::attempt::Instances;
-use crate::client_connection::Visit;
+use crate::attempt::WorkerClient;
+use crate::client_connection::ClientConnection;
 use crate::config::Config;
-use crate::counters::Shared;
+use crate::counters::SharedCounters;
 use crate::discovery::{DiscoveryClient, WatchTiming};
-use crate::job_handler::{Front, OpenIds};
-use crate::scheduler_loop::{Core, Entrance, Input, Order};
+use crate::job_handler::{JobHandler, OpenRequestIds};
+use crate::scheduler_loop::{Command, Event, JobQueue, SchedulerLoop};
 use crate::shutdown::Shutdown;
 
 /// How the descriptors that the settings allow are shared out; no part takes from another.
@@ -75,26 +76,27 @@
     config: Config,
     discovery: watch::Receiver<SocketAddr>,
     listener: TcpListener,
-    counters: Shared,
+    counters: SharedCounters,
     shutdown: Shutdown,
     told: Option<watch::Receiver<Option<ActiveRules>>>,
 ) -> Result<(), String> {
     let (queue, inputs) = mpsc::unbounded_channel();
     let (ask, asked) = mpsc::unbounded_channel();
     let descriptors = Descriptors::of(config.sockets);
-    let instances = Instances::new(descriptors.instances, config.links, counters.clone(), queue.clone());
-    tokio::spawn(instances.clone().sweep());
+    let worker_client =
+        WorkerClient::new(descriptors.instances, config.worker_connections, counters.clone(), queue.clone());
+    tokio::spawn(worker_client.clone().sweep());
     let carry_out = move |order| match order {
-        Order::Execute(execute) => drop(tokio::spawn(instances.clone().execute(execute))),
-        Order::Probe { instance, address } => {
-            drop(tokio::spawn(instances.clone().probe(instance, address)));
+        Command::StartAttempt(request) => drop(tokio::spawn(worker_client.clone().execute(request))),
+        Command::Probe { worker, address } => {
+            drop(tokio::spawn(worker_client.clone().probe(worker, address)));
         }
-        Order::Watch => drop(ask.send(())),
+        Command::WatchList => drop(ask.send(())),
     };
     let timing = WatchTiming {
         pushed: !config.settings.requires_subscription,
         schedulers: config.settings.dispatchers,
-        grace: config.links.grace,
+        grace: config.worker_connections.grace,
     };
     let rng = fastrand::Rng::with_seed(config.seed);
     let client =
@@ -106,23 +108,23 @@
     let ending = (shutdown.clone(), queue.clone());
     tokio::spawn(async move {
         let by = ending.0.answer_by().await;
-        let _ = ending.1.send(Input::Ending { by });
+        let _ = ending.1.send(Event::Shutdown { deadline: by });
     });
-    let core = Core::new(config.settings, config.seed, counters.clone(), carry_out);
+    let core = SchedulerLoop::new(config.settings, config.seed, counters.clone(), carry_out);
     let core = core.map_err(|e| format!("settings: {e}"))?;
     let core = tokio::spawn(core.run(inputs));
     let address = listener.local_addr().map_err(|e| format!("listen: {e}"))?;
     info!(name = config.name, listen = %address, "serving");
-    let front = Front {
+    let handler = JobHandler {
         names: Arc::new(config.names),
-        entrance: Entrance::new(queue),
+        job_queue: JobQueue::new(queue),
         counters,
         shutdown,
-        open: OpenIds::default(),
-        visit: Visit::begin(),
+        open: OpenRequestIds::default(),
+        client_connection: ClientConnection::begin(),
     };
     tokio::select! {
-        () = acceptor::serve(listener, front, descriptors) => Ok(()),
+        () = acceptor::serve(listener, handler, descriptors) => Ok(()),
         // It runs as long as the queue has senders: if it ends, the module has panicked.
         ended = core => Err(format!("the core ended: {ended:?}")),
     }
--- a/crates/daemon/src/line_reader.rs
+++ b/crates/daemon/src/line_reader.rs
@@ -5,16 +5,16 @@
 use hyper::body::Incoming;
 
 /// The lines of an answer, as they come.
-pub struct Lines {
+pub struct LineReader {
     body: Incoming,
     buffer: BytesMut,
     searched: usize,
     longest: usize,
 }
 
-impl Lines {
+impl LineReader {
     pub fn new(body: Incoming, longest: usize) -> Self {
-        Lines { body, buffer: BytesMut::new(), searched: 0, longest }
+        LineReader { body, buffer: BytesMut::new(), searched: 0, longest }
     }
 
     /// The next line without its end; `None` when the answer has properly ended.
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -9,8 +9,8 @@
 use nickelflow_cli::{check, rules, status, Do, Failed, LogFormat, Options, RulesSettings, Settings};
 use nickelflow_control_plane::ControlPlane;
 use nickelflow_daemon::config::{self, Config};
-use nickelflow_daemon::counters::Shared;
-use nickelflow_daemon::shutdown::{self, Signals, Terms};
+use nickelflow_daemon::counters::SharedCounters;
+use nickelflow_daemon::shutdown::{self, ShutdownSchedule, Signals};
 use tokio::sync::watch;
 use tracing::{error, info, warn};
 use tracing_subscriber::EnvFilter;
@@ -41,12 +41,12 @@
     };
     let listener = nickelflow_daemon::listen::listen(config.listen).await;
     let listener = listener.map_err(|e| format!("listen: cannot listen on {}: {e}", config.listen))?;
-    let counters = Shared::default();
+    let counters = SharedCounters::default();
     let longest = config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-    let (trigger, stages) = shutdown::shutdown(Terms::new(Duration::from_nanos(longest)));
+    let (trigger, stages) = shutdown::shutdown(ShutdownSchedule::new(Duration::from_nanos(longest)));
     let (discovery, moved) = watch::channel(config.discovery);
-    let origin = config.origin.clone();
-    let read_again = || match config::discovery_again(env, &origin) {
+    let identity = config.identity.clone();
+    let read_again = || match config::discovery_again(env, &identity) {
         Ok(address) => {
             info!(discovery = %address, "configuration read again");
             discovery.send_if_modified(|old| std::mem::replace(old, address) != address);
--- a/crates/daemon/src/request_reader.rs
+++ b/crates/daemon/src/request_reader.rs
@@ -7,7 +7,7 @@
 
 use std::io::{self, Read};
 use std::pin::Pin;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
 use std::task::{ready, Context, Poll};
 use std::time::Instant;
 
@@ -17,7 +17,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-use crate::client_connection::Visit;
+use crate::client_connection::{ClientConnection, DisconnectCheck};
+use crate::early_rejection::EarlyRejection;
 use crate::interrupted::uninterrupted;
 
 pub const LARGEST_BODY: u64 = 64 << 10;
@@ -27,23 +28,23 @@
 /// Reads of one look whether a client has left, at most: one that writes without end is there.
 const MOST_LOOKS: usize = 16;
 
-/// Why a head is refused by its bytes.
-#[derive(Clone, Copy)]
-pub struct Refusal(pub StatusCode, pub &'static str);
-
-const TOO_LARGE: Refusal = Refusal(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "head over 16 KiB");
-const MALFORMED: Refusal = Refusal(StatusCode::BAD_REQUEST, "malformed head");
-const BAD_LENGTH: Refusal = Refusal(StatusCode::BAD_REQUEST, "content-length: must be one whole number");
-const BAD_ENCODING: Refusal = Refusal(StatusCode::BAD_REQUEST, "transfer-encoding: must be chunked, once");
-const TWO_FRAMINGS: Refusal = Refusal(StatusCode::BAD_REQUEST, "content-length and transfer-encoding");
+const TOO_LARGE: EarlyRejection =
+    EarlyRejection::new(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "head over 16 KiB");
+const MALFORMED: EarlyRejection = EarlyRejection::new(StatusCode::BAD_REQUEST, "malformed head");
+const BAD_LENGTH: EarlyRejection =
+    EarlyRejection::new(StatusCode::BAD_REQUEST, "content-length: must be one whole number");
+const BAD_ENCODING: EarlyRejection =
+    EarlyRejection::new(StatusCode::BAD_REQUEST, "transfer-encoding: must be chunked, once");
+const TWO_FRAMINGS: EarlyRejection =
+    EarlyRejection::new(StatusCode::BAD_REQUEST, "content-length and transfer-encoding");
 
 /// The stream of one client, as hyper gets to see it; its clones are the same stream.
 #[derive(Clone)]
-pub struct Inlet(Arc<Mutex<Intake>>);
+pub struct ClientStream(Arc<Mutex<RequestReader>>);
 
-pub(crate) struct Intake {
+struct RequestReader {
     stream: TcpStream,
-    visit: Arc<Visit>,
+    client_connection: Arc<ClientConnection>,
     buffer: BytesMut,
     /// How many bytes, from the start of the buffer on, belong to the request that hyper may see.
     pass: u64,
@@ -52,41 +53,42 @@
     ended: bool,
 }
 
-impl Inlet {
-    pub fn new(stream: TcpStream, visit: Arc<Visit>) -> Inlet {
-        let intake = Intake {
+impl ClientStream {
+    pub fn new(stream: TcpStream, client_connection: Arc<ClientConnection>) -> ClientStream {
+        let request_reader = RequestReader {
             stream,
-            visit: visit.clone(),
+            client_connection: client_connection.clone(),
             buffer: BytesMut::new(),
             pass: 0,
             looked: 0,
             ended: false,
         };
-        let intake = Arc::new(Mutex::new(intake));
-        visit.reads(&intake);
-        Inlet(intake)
+        let request_reader = Arc::new(Mutex::new(request_reader));
+        let check: Weak<Mutex<RequestReader>> = Arc::downgrade(&request_reader);
+        client_connection.set_disconnect_check(check);
+        ClientStream(request_reader)
     }
 
-    fn intake(&self) -> MutexGuard<'_, Intake> {
+    fn request_reader(&self) -> MutexGuard<'_, RequestReader> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Whether the client's end has been read.
     pub fn has_ended(&self) -> bool {
-        self.intake().ended
+        self.request_reader().ended
     }
 
     /// Ready once the client has gone while its job is under way. hyper cannot tell where anything lies unread
     /// behind the request, and then reads no further.
     pub fn poll_gone(&self, cx: &mut Context) -> Poll<()> {
-        let mut intake = self.intake();
-        while !intake.ended && intake.passed() {
-            if ready!(intake.fill(cx)).is_err() {
-                intake.ended = true;
+        let mut request_reader = self.request_reader();
+        while !request_reader.ended && request_reader.passed() {
+            if ready!(request_reader.fill(cx)).is_err() {
+                request_reader.ended = true;
             }
-            intake.drop_excess();
+            request_reader.drop_excess();
         }
-        if intake.ended && intake.passed() {
+        if request_reader.ended && request_reader.passed() {
             Poll::Ready(())
         } else {
             Poll::Pending
@@ -95,30 +97,36 @@
 
     /// Reads and forgets; how much, or 0 at the end.
     pub fn poll_discard(&self, cx: &mut Context) -> Poll<io::Result<usize>> {
-        let mut intake = self.intake();
-        intake.buffer.clear();
-        ready!(intake.fill(cx))?;
-        Poll::Ready(Ok(intake.buffer.len()))
+        let mut request_reader = self.request_reader();
+        request_reader.buffer.clear();
+        ready!(request_reader.fill(cx))?;
+        Poll::Ready(Ok(request_reader.buffer.len()))
+    }
+}
+
+impl DisconnectCheck for Mutex<RequestReader> {
+    fn has_disconnected(&self) -> bool {
+        self.lock().unwrap_or_else(PoisonError::into_inner).poll_socket()
     }
 }
 
-impl Intake {
+impl RequestReader {
     /// Whether all of a request has come to which there is no answer yet.
     fn passed(&self) -> bool {
-        self.visit.state().passed
+        self.client_connection.state().passed
     }
 
     /// So much ahead of its turn is no request of a client that waits for answers.
     fn drop_excess(&mut self) {
         if self.buffer.len() > LARGEST_HEAD {
             (self.buffer, self.looked) = (BytesMut::new(), 0);
-            self.visit.state().last = true;
+            self.client_connection.state().last = true;
         }
     }
 
-    /// Whether the client of a job that is under way has left. Reads what the kernel has, whether or not the runtime has
+    /// Returns whether the client of a job that is under way has disconnected. Reads what the kernel has, whether or not the runtime has
     /// been told of it yet; what of that is not the end is kept for the next call.
-    pub(crate) fn left_by_now(&mut self) -> bool {
+    fn poll_socket(&mut self) -> bool {
         let mut space = [0; 8 << 10];
         for _ in 0..MOST_LOOKS {
             if self.ended || !self.passed() {
@@ -154,7 +162,7 @@
         if self.looked == 0 {
             self.buffer.advance(blank);
         }
-        let mut state = self.visit.state();
+        let mut state = self.client_connection.state();
         if !self.buffer.is_empty() && !state.busy {
             state.begun = true;
             state.reading.get_or_insert_with(Instant::now);
@@ -187,7 +195,7 @@
 }
 
 /// The length of the head that the bytes begin with, and its body; `None` while it is not whole.
-fn framing(bytes: &[u8]) -> Result<Option<(usize, Body)>, Refusal> {
+fn framing(bytes: &[u8]) -> Result<Option<(usize, Body)>, EarlyRejection> {
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let head = match request.parse(bytes) {
@@ -218,53 +226,53 @@
     }
 }
 
-impl AsyncRead for Inlet {
+impl AsyncRead for ClientStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, out: &mut ReadBuf) -> Poll<io::Result<()>> {
-        let inlet = &mut *self.intake();
+        let reader = &mut *self.request_reader();
         loop {
-            if inlet.passed() {
+            if reader.passed() {
                 // What comes now is for the next call, and an end is for `poll_gone` to see.
-                inlet.visit.state().reader = Some(cx.waker().clone());
+                reader.client_connection.state().reader = Some(cx.waker().clone());
                 return Poll::Pending;
             }
-            if inlet.pass == 0 {
-                inlet.head();
+            if reader.pass == 0 {
+                reader.head();
             }
-            if inlet.visit.refusal().is_some() {
+            if reader.client_connection.refusal().is_some() {
                 // An error would also break off the call that is under way before it.
                 let broken = Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
-                return if inlet.visit.busy() { Poll::Pending } else { broken };
+                return if reader.client_connection.busy() { Poll::Pending } else { broken };
             }
-            if inlet.pass > 0 && !inlet.buffer.is_empty() {
-                let most = inlet.buffer.len().min(out.remaining());
-                let n = most.min(usize::try_from(inlet.pass).unwrap_or(usize::MAX));
-                out.put_slice(&inlet.buffer[..n]);
-                inlet.buffer.advance(n);
-                inlet.pass -= n as u64;
-                inlet.looked = 0;
-                if inlet.pass == 0 {
-                    let mut state = inlet.visit.state();
+            if reader.pass > 0 && !reader.buffer.is_empty() {
+                let most = reader.buffer.len().min(out.remaining());
+                let n = most.min(usize::try_from(reader.pass).unwrap_or(usize::MAX));
+                out.put_slice(&reader.buffer[..n]);
+                reader.buffer.advance(n);
+                reader.pass -= n as u64;
+                reader.looked = 0;
+                if reader.pass == 0 {
+                    let mut state = reader.client_connection.state();
                     (state.reading, state.begun, state.passed) = (None, false, true);
                     state.idle_since = Instant::now();
                 }
-                if inlet.buffer.is_empty() {
-                    inlet.buffer = BytesMut::new();
+                if reader.buffer.is_empty() {
+                    reader.buffer = BytesMut::new();
                 }
                 return Poll::Ready(Ok(()));
             }
-            if inlet.ended {
+            if reader.ended {
                 return Poll::Ready(Ok(()));
             }
-            ready!(inlet.fill(cx))?;
+            ready!(reader.fill(cx))?;
         }
     }
 }
 
-impl AsyncWrite for Inlet {
+impl AsyncWrite for ClientStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let mut intake = self.intake();
-        let written = uninterrupted(|| Pin::new(&mut intake.stream).poll_write(cx, bytes));
-        intake.visit.state().stuck = written.is_pending();
+        let mut request_reader = self.request_reader();
+        let written = uninterrupted(|| Pin::new(&mut request_reader.stream).poll_write(cx, bytes));
+        request_reader.client_connection.state().stuck = written.is_pending();
         written
     }
 
@@ -273,9 +281,9 @@
         cx: &mut Context,
         bytes: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
-        let mut intake = self.intake();
-        let written = uninterrupted(|| Pin::new(&mut intake.stream).poll_write_vectored(cx, bytes));
-        intake.visit.state().stuck = written.is_pending();
+        let mut request_reader = self.request_reader();
+        let written = uninterrupted(|| Pin::new(&mut request_reader.stream).poll_write_vectored(cx, bytes));
+        request_reader.client_connection.state().stuck = written.is_pending();
         written
     }
 
@@ -284,10 +292,10 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.intake().stream).poll_flush(cx)
+        Pin::new(&mut self.request_reader().stream).poll_flush(cx)
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.intake().stream).poll_shutdown(cx)
+        Pin::new(&mut self.request_reader().stream).poll_shutdown(cx)
     }
 }
--- a/crates/daemon/src/rules_conversion.rs
+++ b/crates/daemon/src/rules_conversion.rs
@@ -12,7 +12,7 @@
 use tracing::warn;
 
 use crate::listen::listen;
-use crate::scheduler_loop::{Agreed, Input};
+use crate::scheduler_loop::{AdoptedRules, Event};
 
 const MS: u64 = 1_000_000;
 
@@ -30,27 +30,27 @@
 pub async fn tell<P>(
     mut told: watch::Receiver<Option<ActiveRules>>,
     tenants: Vec<String>,
-    queue: mpsc::UnboundedSender<Input<P>>,
+    queue: mpsc::UnboundedSender<Event<P>>,
 ) {
-    let mut last: Option<(Option<Version>, Agreed)> = None;
+    let mut last: Option<(Option<Version>, AdoptedRules)> = None;
     loop {
         let now = told.borrow_and_update().clone();
         let version = now.as_ref().map(|now| now.version);
         let agreed = match (now, &last) {
             (Some(now), Some((of, last))) if *of == version => {
-                Agreed { until: now.lease_expiry, ..last.clone() }
+                AdoptedRules { valid_until: now.lease_expiry, ..last.clone() }
             }
             (Some(now), _) => of(&now, &tenants),
             // Before the first lease it has no part of anything.
-            (None, _) => Agreed {
+            (None, _) => AdoptedRules {
                 rules: Arc::new(Rules::none(1, (0, u64::MAX))),
-                until: Instant::now(),
+                valid_until: Instant::now(),
                 version: HeaderValue::from_static("none"),
-                careful: HeaderValue::from_static("none"),
+                degraded_version: HeaderValue::from_static("none"),
             },
         };
         last = Some((version, agreed.clone()));
-        if queue.send(Input::Agreed(agreed)).is_err() || told.changed().await.is_err() {
+        if queue.send(Event::RulesAdopted(agreed)).is_err() || told.changed().await.is_err() {
             return;
         }
     }
@@ -61,12 +61,12 @@
     HeaderValue::try_from(text).unwrap_or_else(|_| HeaderValue::from_static("none"))
 }
 
-fn of(told: &ActiveRules, tenants: &[String]) -> Agreed {
-    Agreed {
+fn of(told: &ActiveRules, tenants: &[String]) -> AdoptedRules {
+    AdoptedRules {
         rules: Arc::new(rules(&told.step, tenants)),
-        until: told.lease_expiry,
+        valid_until: told.lease_expiry,
         version: text(told.version, false),
-        careful: text(told.version, true),
+        degraded_version: text(told.version, true),
     }
 }
 
--- a/crates/daemon/src/scheduler_loop.rs
+++ b/crates/daemon/src/scheduler_loop.rs
@@ -1,10 +1,9 @@
-//! The one task that owns the engine, and with it the decisions. It takes what happens from one queue, gives
-//! it to the engine with its time, and carries the engine's orders out.
+//! The one task that owns the engine, and with it the decisions. It takes events from one queue, passes them to the engine
+//! with their time, and carries out the engine's outputs.
 //!
-//! It knows no protocol and keeps no books of its own: what is open, sent and answered the engine knows. Here
-//! are only the channels on which answers and stops go out, and the parcels, which the core never looks
-//! into. Executions, probes and the watch are begun by the `carry_out` it is given, and report back through
-//! the queue.
+//! It knows no protocol, and what is open, sent and answered only the engine knows. The loop keeps the channels on which
+//! answers and stops go out, and the requests, into which it never looks. Attempts, probes and the watch are started by the
+//! `execute` function that it is given, and report back through the queue.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,21 +16,21 @@
 use nickelflow_dispatcher::Idempotency;
 pub use nickelflow_engine::permits::StopLevel;
 use nickelflow_engine::permits::Violation;
-use nickelflow_engine::{Endpoint, Engine, Input as Happened, Job as Facts, JobViolation, Nanos, Output};
+use nickelflow_engine::{Endpoint, Engine, Input, Job, JobViolation, Nanos, Output, StartAttempt};
 use nickelflow_engine::{ListKind, LoadReport, Outcome, Rules, Settings, SettingsError};
 use tokio::sync::{mpsc, oneshot, watch};
 use tracing::{debug, warn};
 
-use crate::counters::Shared;
+use crate::counters::{outcome_name, SharedCounters};
 use crate::start_times::StartTimes;
 use crate::violations;
 
-/// How an execution ended.
-pub type End = nickelflow_engine::AttemptResult<Bytes>;
+/// How an attempt ended, with the worker's result as the bytes that came.
+pub type AttemptResult = nickelflow_engine::AttemptResult<Bytes>;
 /// The single final answer to a job.
-pub type Answer = nickelflow_engine::FinalAnswer<Bytes>;
-/// One entry of the list of instances.
-pub type Entry = Endpoint<SocketAddr>;
+pub type FinalAnswer = nickelflow_engine::FinalAnswer<Bytes>;
+/// One entry of the endpoint list.
+pub type WorkerEndpoint = Endpoint<SocketAddr>;
 
 /// The engine's clock: monotonic, and far enough from its zero for what started long before the program.
 #[derive(Clone, Copy)]
@@ -56,210 +55,292 @@
     }
 }
 
-/// A job as a front hands it in.
-pub struct Job<P> {
+/// A job as a front end submits it.
+pub struct SubmittedJob<P> {
     /// The id that its client gave it, for logs.
     pub request_id: HeaderValue,
+    /// The index of its class in the settings.
     pub class: u32,
+    /// The index of its tenant in the settings.
     pub tenant: Option<u32>,
+    /// Slots that it occupies while it runs.
     pub slots: f64,
+    /// Memory that it occupies while it runs.
     pub memory: f64,
-    /// A hash of the data that the job needs.
+    /// A hash of the name of the data that the job needs.
     pub key: Option<u64>,
-    pub retry: bool,
-    /// When its service client gives up.
+    /// The client states that it is retrying the job.
+    pub is_retry: bool,
+    /// When its client gives up.
     pub deadline: Instant,
-    pub parcel: P,
+    /// What is sent to the worker; the loop never looks into it.
+    pub request: P,
 }
 
-/// What reaches the core through its queue.
-pub enum Input<P> {
-    Job(u64, Job<P>, oneshot::Sender<Answer>),
-    Gone(u64),
-    Progress {
-        job: u64,
-        attempt: u32,
+/// Identifies one attempt of a job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct AttemptId {
+    /// The number of the job.
+    pub job: u64,
+    /// The number of the attempt among those of the job.
+    pub attempt: u32,
+}
+
+/// What reaches the scheduler loop through its queue.
+pub enum Event<P> {
+    /// A new job.
+    Job {
+        /// The number of the job.
+        number: u64,
+        /// The job itself.
+        job: SubmittedJob<P>,
+        /// Where its answer goes.
+        answer: oneshot::Sender<FinalAnswer>,
     },
-    Ended {
+    /// The client of a job has disconnected.
+    ClientDisconnected {
+        /// The number of the job.
         job: u64,
-        attempt: u32,
-        end: End,
     },
-    Probed {
-        instance: u32,
+    /// A running attempt has shown that its worker is alive.
+    Progress {
+        /// The attempt.
+        id: AttemptId,
+    },
+    /// An attempt has ended.
+    AttemptEnded {
+        /// The attempt.
+        id: AttemptId,
+        /// How it ended.
+        result: AttemptResult,
+    },
+    /// A probe has ended.
+    ProbeCompleted {
+        /// The number of the worker.
+        worker: u32,
+        /// How the probe ended.
         outcome: Outcome,
+        /// The worker's load.
         report: Option<LoadReport>,
     },
-    /// Starts stand in Unix time here (ns).
-    Listed {
+    /// An endpoint list, or a change to it.
+    WorkerList {
+        /// How complete and how recent the list is.
         kind: ListKind,
-        entries: Vec<Entry>,
+        /// Its entries, with the workers' starts in Unix time (ns).
+        entries: Vec<WorkerEndpoint>,
     },
-    /// Rules that all schedulers agree on.
-    Agreed(Agreed),
-    /// The program ends: by then all must be answered.
-    Ending {
-        by: Instant,
+    /// All schedulers have adopted rules, or the lease on the present ones was renewed.
+    RulesAdopted(AdoptedRules),
+    /// The program shuts down.
+    Shutdown {
+        /// When every job must be answered.
+        deadline: Instant,
     },
 }
 
-/// Rules as they are agreed on now.
+/// The rules that all schedulers have adopted.
 #[derive(Clone)]
-pub struct Agreed {
+pub struct AdoptedRules {
+    /// The rules.
     pub rules: Arc<Rules>,
-    /// In full until then, and afterwards only carefully.
-    pub until: Instant,
-    /// Their version, as attempts tell it.
+    /// Until when they hold in full; from then on only their degraded part does.
+    pub valid_until: Instant,
+    /// Their version, as it is sent with attempts.
     pub version: HeaderValue,
-    pub careful: HeaderValue,
+    /// Their version, as it is sent with attempts after `valid_until`.
+    pub degraded_version: HeaderValue,
 }
 
-/// Which rules an attempt was decided under.
-pub struct Under {
+impl AdoptedRules {
+    /// Returns the lease for an attempt that is decided now.
+    fn lease(&self) -> RulesLease {
+        if Instant::now() < self.valid_until {
+            RulesLease { version: self.version.clone(), valid_until: Some(self.valid_until) }
+        } else {
+            RulesLease { version: self.degraded_version.clone(), valid_until: None }
+        }
+    }
+}
+
+/// The rules by which an attempt was decided.
+pub struct RulesLease {
+    /// Their version, as it is sent with the attempt.
     pub version: HeaderValue,
-    /// It must not be written after this any more: what it was decided under has lapsed then.
-    pub lapses: Option<Instant>,
+    /// The time from which the attempt must not be written any more; `None` for degraded rules.
+    pub valid_until: Option<Instant>,
 }
 
-/// What the core wants done outside.
-pub enum Order<P> {
-    Execute(Execute<P>),
-    Probe { instance: u32, address: SocketAddr },
-    Watch,
+/// What the scheduler loop wants done outside.
+pub enum Command<P> {
+    /// Start an attempt.
+    StartAttempt(AttemptRequest<P>),
+    /// Ask a worker for its load.
+    Probe {
+        /// The number of the worker.
+        worker: u32,
+        /// Its address.
+        address: SocketAddr,
+    },
+    /// Watch the endpoint list.
+    WatchList,
 }
 
 /// What a second run of a job would do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Repeats {
-    Harmless,
-    /// Workers drop it, of a group and for a while.
-    Dropped,
-    /// It must never be.
-    Never,
+pub enum RetrySafety {
+    /// The job is idempotent.
+    Safe,
+    /// Workers of one deduplication scope drop a second run for a limited time.
+    Deduplicated,
+    /// The job must never run twice.
+    Unsafe,
 }
 
-impl From<Idempotency> for Repeats {
-    fn from(effect: Idempotency) -> Self {
-        match effect {
-            Idempotency::Idempotent => Repeats::Harmless,
-            Idempotency::IdempotentWithKey(_) => Repeats::Dropped,
-            Idempotency::NonIdempotent => Repeats::Never,
+impl From<Idempotency> for RetrySafety {
+    fn from(idempotency: Idempotency) -> Self {
+        match idempotency {
+            Idempotency::Idempotent => RetrySafety::Safe,
+            Idempotency::IdempotentWithKey(_) => RetrySafety::Deduplicated,
+            Idempotency::NonIdempotent => RetrySafety::Unsafe,
         }
     }
 }
 
-/// One attempt to be made; exactly one [`Input::Ended`] must follow.
-pub struct Execute<P> {
-    pub job: u64,
-    pub attempt: u32,
+/// One attempt to be started. Exactly one [`Event::AttemptEnded`] must follow.
+pub struct AttemptRequest<P> {
+    /// Identifies the attempt.
+    pub id: AttemptId,
+    /// The address of the worker.
     pub address: SocketAddr,
-    pub until: Instant,
-    /// No byte of it may be written from then on.
+    /// When the attempt is given up.
+    pub deadline: Instant,
+    /// The time from which no byte of it may be written; `None` where nothing bounds it.
     pub send_by: Option<Instant>,
+    /// How far the attempt may still proceed.
     pub stop: watch::Receiver<StopLevel>,
-    pub under: Option<Under>,
-    pub repeats: Repeats,
-    pub parcel: Arc<P>,
+    /// The rules by which it was decided; `None` where no rules are adopted.
+    pub rules_lease: Option<RulesLease>,
+    /// What a second run of the job would do.
+    pub retry_safety: RetrySafety,
+    /// What is sent to the worker.
+    pub request: Arc<P>,
 }
 
-/// The way in for fronts. The queue has no bound of its own: what is in it is bounded by the descriptors,
-/// for each client connection, execution and probe has at most a few events waiting.
-pub struct Entrance<P> {
-    queue: mpsc::UnboundedSender<Input<P>>,
-    numbers: Arc<AtomicU64>,
+/// The queue through which front ends submit jobs. It has no bound of its own: its length is bounded by the descriptors, for
+/// each client connection, attempt and probe has at most a few events waiting.
+pub struct JobQueue<P> {
+    queue: mpsc::UnboundedSender<Event<P>>,
+    next_number: Arc<AtomicU64>,
 }
 
-impl<P> Clone for Entrance<P> {
+impl<P> Clone for JobQueue<P> {
     fn clone(&self) -> Self {
-        Entrance { queue: self.queue.clone(), numbers: self.numbers.clone() }
+        JobQueue { queue: self.queue.clone(), next_number: self.next_number.clone() }
+    }
+}
+
+/// Reports the client's disconnection when it is dropped before the answer has come.
+struct DisconnectGuard<'a, P> {
+    queue: &'a mpsc::UnboundedSender<Event<P>>,
+    job: Option<u64>,
+}
+
+impl<P> Drop for DisconnectGuard<'_, P> {
+    fn drop(&mut self) {
+        if let Some(job) = self.job {
+            let _ = self.queue.send(Event::ClientDisconnected { job });
+        }
     }
 }
 
-impl<P> Entrance<P> {
-    pub fn new(queue: mpsc::UnboundedSender<Input<P>>) -> Self {
-        Entrance { queue, numbers: Arc::default() }
+impl<P> JobQueue<P> {
+    /// Creates the front ends' side of a queue.
+    pub fn new(queue: mpsc::UnboundedSender<Event<P>>) -> Self {
+        JobQueue { queue, next_number: Arc::default() }
     }
 
-    /// Whether the core still runs.
-    pub fn open(&self) -> bool {
+    /// Returns whether the scheduler loop still runs.
+    pub fn is_open(&self) -> bool {
         !self.queue.is_closed()
     }
 
-    /// Hands a job in and waits for its answer. Dropped before that, it tells the core that the service
-    /// client has gone.
-    pub async fn submit(&self, job: Job<P>) -> Answer {
-        struct Left<'a, P>(&'a mpsc::UnboundedSender<Input<P>>, Option<u64>);
-        impl<P> Drop for Left<'_, P> {
-            fn drop(&mut self) {
-                if let Some(number) = self.1 {
-                    let _ = self.0.send(Input::Gone(number));
-                }
-            }
-        }
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+    /// Submits a job and waits for its answer. Dropped before that, it reports that the client has disconnected.
+    pub async fn submit(&self, job: SubmittedJob<P>) -> FinalAnswer {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (sender, answer) = oneshot::channel();
-        let _ = self.queue.send(Input::Job(number, job, sender));
-        let mut left = Left(&self.queue, Some(number));
+        let _ = self.queue.send(Event::Job { number, job, answer: sender });
+        let mut guard = DisconnectGuard { queue: &self.queue, job: Some(number) };
         let answer = answer.await;
-        left.1 = None;
-        answer.unwrap_or(Answer::Failed)
+        guard.job = None;
+        answer.unwrap_or(FinalAnswer::Failed)
     }
 }
 
-/// What waits for an answer: the way to give it, and what an execution sends.
-struct Waiting<P> {
+/// A job that waits for its answer.
+struct PendingJob<P> {
     request_id: HeaderValue,
-    parcel: Arc<P>,
-    repeats: Repeats,
-    answer: oneshot::Sender<Answer>,
+    request: Arc<P>,
+    retry_safety: RetrySafety,
+    answer: oneshot::Sender<FinalAnswer>,
 }
 
-/// Whether an order sends a job on or answers it.
-fn names(orders: &[Output<u64, Bytes>], job: u64) -> bool {
-    orders.iter().any(|order| match order {
-        Output::StartAttempt(execute) => execute.id == job,
+/// Returns whether one of the outputs starts an attempt of a job or answers it.
+fn serves_job(outputs: &[Output<u64, Bytes>], job: u64) -> bool {
+    outputs.iter().any(|output| match output {
+        Output::StartAttempt(start) => start.id == job,
         Output::FinalAnswer { id, .. } => *id == job,
         _ => false,
     })
 }
 
-pub struct Core<P, F> {
+/// The scheduler loop; `execute` carries out its commands.
+pub struct SchedulerLoop<P, F> {
     engine: Engine<u64, SocketAddr, Bytes>,
-    /// Of each class.
-    repeats: Vec<Repeats>,
+    /// The retry safety of each class of the settings.
+    class_retry_safety: Vec<RetrySafety>,
     clock: Clock,
     start_times: StartTimes,
-    carry_out: F,
-    counters: Shared,
-    waiting: HashMap<u64, Waiting<P>>,
-    /// The way to stop an execution, until it has ended.
-    stops: HashMap<(u64, u32), watch::Sender<StopLevel>>,
-    orders: Vec<Output<u64, Bytes>>,
-    agreed: Option<Agreed>,
+    execute: F,
+    counters: SharedCounters,
+    pending: HashMap<u64, PendingJob<P>>,
+    /// Stops an attempt, until it has ended.
+    stops: HashMap<AttemptId, watch::Sender<StopLevel>>,
+    /// The engine's outputs on the input in hand; kept for its allocation.
+    outputs: Vec<Output<u64, Bytes>>,
+    adopted_rules: Option<AdoptedRules>,
 }
 
-impl<P, F: FnMut(Order<P>)> Core<P, F> {
-    pub fn new(settings: Settings, seed: u64, counters: Shared, carry_out: F) -> Result<Self, SettingsError> {
-        let repeats = settings.classes.iter().map(|class| class.idempotency.into()).collect();
-        Ok(Core {
-            repeats,
+impl<P, F: FnMut(Command<P>)> SchedulerLoop<P, F> {
+    /// Creates a loop with an engine of these settings. `seed` initializes the engine's random choices.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first setting that is out of its range.
+    pub fn new(
+        settings: Settings,
+        seed: u64,
+        counters: SharedCounters,
+        execute: F,
+    ) -> Result<Self, SettingsError> {
+        let class_retry_safety = settings.classes.iter().map(|class| class.idempotency.into()).collect();
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Ok(SchedulerLoop {
+            class_retry_safety,
             engine: Engine::new(settings, seed)?,
-            start_times: StartTimes::new(
-                AT_START.as_nanos() as Nanos,
-                SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default(),
-            ),
+            start_times: StartTimes::new(AT_START.as_nanos() as Nanos, unix_time),
             clock: Clock::start(),
-            carry_out,
+            execute,
             counters,
-            waiting: HashMap::new(),
+            pending: HashMap::new(),
             stops: HashMap::new(),
-            orders: Vec::new(),
-            agreed: None,
+            outputs: Vec::new(),
+            adopted_rules: None,
         })
     }
 
-    /// Runs until no one is left who could hand anything in.
-    pub async fn run(mut self, mut queue: mpsc::UnboundedReceiver<Input<P>>) {
+    /// Runs until all senders of the queue are gone. Cancellation safe: no event is lost that has not been taken.
+    pub async fn run(mut self, mut queue: mpsc::UnboundedReceiver<Event<P>>) {
         loop {
             let wake = self.engine.next_wake().map(|at| self.clock.instant(at));
             let sleep = async {
@@ -271,175 +352,187 @@
             tokio::select! {
                 // The clock first: a wake must not starve behind a full queue.
                 biased;
-                () = sleep => self.handle(Happened::Wake),
-                input = queue.recv() => match input {
-                    Some(input) => self.take(input),
+                () = sleep => self.handle_input(Input::Wake),
+                event = queue.recv() => match event {
+                    Some(event) => self.handle_event(event),
                     None => return,
                 },
             }
         }
     }
 
-    fn take(&mut self, input: Input<P>) {
-        let happened = match input {
-            Input::Job(id, job, answer) => {
-                self.counters.taken.add();
-                let Job { request_id, class, tenant, slots, memory, key, retry, deadline, parcel } = job;
-                // As the module has it: a class that is out of range counts as the last.
-                let repeats = self.repeats.get(class as usize).or(self.repeats.last()).copied();
-                let repeats = repeats.unwrap_or(Repeats::Never);
-                debug!(job = id, tenant, key, slots, memory, request = ?request_id, "taken");
-                let parcel = Arc::new(parcel);
-                self.waiting.insert(id, Waiting { request_id, parcel, repeats, answer });
-                let deadline = self.clock.at(deadline);
-                Happened::Job {
-                    id,
-                    job: Facts { class, tenant, slots, memory, key, is_retry: retry, deadline },
-                }
-            }
-            Input::Gone(id) => {
-                debug!(job = id, "client gone");
-                if self.waiting.remove(&id).is_some() {
+    fn handle_event(&mut self, event: Event<P>) {
+        let input = match event {
+            Event::Job { number, job, answer } => self.accept_job(number, job, answer),
+            Event::ClientDisconnected { job } => {
+                debug!(job, "client gone");
+                if self.pending.remove(&job).is_some() {
                     self.counters.client_gone.add();
                 }
-                Happened::ClientDisconnected { id }
+                Input::ClientDisconnected { id: job }
             }
-            Input::Progress { job, attempt } => {
+            Event::Progress { id: AttemptId { job, attempt } } => {
                 debug!(job, attempt, "progress");
-                Happened::Progress { id: job, attempt }
-            }
-            Input::Ended { job, attempt, end } => {
-                self.counters.ended(end.outcome);
-                debug!(job, attempt, outcome = ?end.outcome, "ended");
-                self.stops.remove(&(job, attempt));
-                Happened::AttemptEnded { id: job, attempt, result: end }
+                Input::Progress { id: job, attempt }
             }
-            Input::Probed { instance, outcome, report } => {
+            Event::AttemptEnded { id, result } => self.end_attempt(id, result),
+            Event::ProbeCompleted { worker, outcome, report } => {
                 if outcome == Outcome::Ok {
                     self.counters.probes_ok.add();
                 }
-                Happened::ProbeCompleted { worker: instance, outcome, report }
+                Input::ProbeCompleted { worker, outcome, report }
             }
-            Input::Agreed(agreed) => {
-                let (rules, until) = (agreed.rules.clone(), self.clock.at(agreed.until));
-                self.agreed = Some(agreed);
-                Happened::Rules { rules, valid_until: until }
+            Event::RulesAdopted(adopted) => {
+                let (rules, valid_until) = (adopted.rules.clone(), self.clock.at(adopted.valid_until));
+                self.adopted_rules = Some(adopted);
+                Input::Rules { rules, valid_until }
             }
-            Input::Ending { by } => Happened::Shutdown { deadline: self.clock.at(by) },
-            Input::Listed { kind, entries } => {
+            Event::Shutdown { deadline } => Input::Shutdown { deadline: self.clock.at(deadline) },
+            Event::WorkerList { kind, entries } => {
                 if kind != ListKind::Stale {
                     self.counters.lists.add();
                 }
-                Happened::WorkerList { kind, workers: self.with_start_times(entries) }
+                Input::WorkerList { kind, workers: self.with_start_times(entries) }
             }
         };
-        self.handle(happened);
+        self.handle_input(input);
     }
 
-    /// Entries of a list, in which starts stand in Unix time, with the starts on the engine's clock.
-    fn with_start_times(&mut self, mut entries: Vec<Entry>) -> Vec<Entry> {
+    fn accept_job(
+        &mut self,
+        number: u64,
+        submitted: SubmittedJob<P>,
+        answer: oneshot::Sender<FinalAnswer>,
+    ) -> Input<u64, SocketAddr, Bytes> {
+        self.counters.taken.add();
+        let SubmittedJob { request_id, class, tenant, slots, memory, key, is_retry, deadline, request } =
+            submitted;
+        debug!(job = number, tenant, key, slots, memory, request = ?request_id, "taken");
+        // As in the engine, a class that is out of range counts as the last.
+        let of_class = self.class_retry_safety.get(class as usize).or(self.class_retry_safety.last());
+        let retry_safety = of_class.copied().unwrap_or(RetrySafety::Unsafe);
+        let pending = PendingJob { request_id, request: Arc::new(request), retry_safety, answer };
+        self.pending.insert(number, pending);
+        let deadline = self.clock.at(deadline);
+        Input::Job { id: number, job: Job { class, tenant, slots, memory, key, is_retry, deadline } }
+    }
+
+    fn end_attempt(&mut self, id: AttemptId, result: AttemptResult) -> Input<u64, SocketAddr, Bytes> {
+        let AttemptId { job, attempt } = id;
+        self.counters.ended(result.outcome);
+        debug!(job, attempt, outcome = %outcome_name(result.outcome), "ended");
+        self.stops.remove(&id);
+        Input::AttemptEnded { id: job, attempt, result }
+    }
+
+    /// Converts the starts in the entries of a list from Unix time to the engine's clock.
+    fn with_start_times(&mut self, mut entries: Vec<WorkerEndpoint>) -> Vec<WorkerEndpoint> {
         let now = self.clock.at(Instant::now());
-        self.start_times.told(now, entries.iter().filter_map(|entry| entry.started));
+        self.start_times.observe(now, entries.iter().filter_map(|entry| entry.started));
         for entry in &mut entries {
-            entry.started = entry.started.map(|unix| self.start_times.understand(&entry.name, unix));
+            entry.started = entry.started.map(|unix| self.start_times.convert(&entry.name, unix));
         }
         entries
     }
 
-    fn handle(&mut self, happened: Happened<u64, SocketAddr, Bytes>) {
-        let mut orders = std::mem::take(&mut self.orders);
+    fn handle_input(&mut self, input: Input<u64, SocketAddr, Bytes>) {
+        let mut outputs = std::mem::take(&mut self.outputs);
         let now = self.clock.at(Instant::now());
-        let wants_attempt = match &happened {
-            Happened::Job { id, .. } | Happened::AttemptEnded { id, .. } => Some(*id),
+        let wants_attempt = match &input {
+            Input::Job { id, .. } | Input::AttemptEnded { id, .. } => Some(*id),
             _ => None,
         };
-        if let Err(misuse) = self.engine.handle(now, happened, &mut orders) {
+        if let Err(misuse) = self.engine.handle(now, input, &mut outputs) {
             warn!(%misuse, "the core and its engine disagree");
         }
-        for JobViolation { id: job, violation } in self.engine.take_violations() {
-            let Violation { operation, denial } = violation;
-            let request = self.waiting.get(&job).map(|waiting| waiting.request_id.clone());
-            violations::found(&self.counters, operation, denial, &request.unwrap_or(HeaderValue::from(job)));
+        self.report_violations();
+        if let Some(job) = wants_attempt {
+            if self.pending.contains_key(&job) && !serves_job(&outputs, job) {
+                debug!(job, "held: no worker is open for it, or other attempts are out");
+            }
         }
-        if let Some(job) = wants_attempt.filter(|job| self.waiting.contains_key(job) && !names(&orders, *job))
-        {
-            debug!(job, "held: no worker is open for it, or other attempts are out");
+        for output in outputs.drain(..) {
+            self.apply_output(output);
         }
-        for order in orders.drain(..) {
-            self.carry(order);
+        self.outputs = outputs;
+    }
+
+    fn report_violations(&mut self) {
+        for JobViolation { id, violation } in self.engine.take_violations() {
+            let Violation { operation, denial } = violation;
+            let request = self.pending.get(&id).map(|pending| pending.request_id.clone());
+            let request = request.unwrap_or(HeaderValue::from(id));
+            violations::report(&self.counters, operation, denial, &request);
         }
-        self.orders = orders;
     }
 
-    fn carry(&mut self, order: Output<u64, Bytes>) {
-        match order {
-            Output::StartAttempt(execute) => self.execute(execute),
-            Output::Cancel { id, attempt } => {
-                if let Some(stop) = self.stops.get(&(id, attempt)) {
+    fn apply_output(&mut self, output: Output<u64, Bytes>) {
+        match output {
+            Output::StartAttempt(start) => self.start_attempt(start),
+            Output::Cancel { id: job, attempt } => {
+                if let Some(stop) = self.stops.get(&AttemptId { job, attempt }) {
                     self.counters.cancels.add();
                     stop.send_replace(StopLevel::Immediate);
                 }
             }
-            Output::CancelUnstarted { id, attempt } => {
-                if let Some(stop) = self.stops.get(&(id, attempt)) {
-                    stop.send_if_modified(|now| {
-                        let before = *now == StopLevel::Continue;
-                        if before {
-                            *now = StopLevel::IfUnstarted;
+            Output::CancelUnstarted { id: job, attempt } => {
+                if let Some(stop) = self.stops.get(&AttemptId { job, attempt }) {
+                    stop.send_if_modified(|level| {
+                        let proceeds = *level == StopLevel::Continue;
+                        if proceeds {
+                            *level = StopLevel::IfUnstarted;
                         }
-                        before
+                        proceeds
                     });
                 }
             }
-            Output::FinalAnswer { id, answer } => {
-                debug!(job = id, answer = answer.name(), "answer");
-                match answer {
-                    Answer::Served(_) => self.counters.served.add(),
-                    Answer::Rejected { .. } => self.counters.refused.add(),
-                    Answer::Failed => self.counters.failed.add(),
-                }
-                if let Some(waiting) = self.waiting.remove(&id) {
-                    let _ = waiting.answer.send(answer);
-                }
-            }
-            Output::Probe { worker: instance } => {
-                if let Some(known) = self.engine.worker(instance) {
+            Output::FinalAnswer { id, answer } => self.answer(id, answer),
+            Output::Probe { worker } => {
+                if let Some(known) = self.engine.worker(worker) {
                     self.counters.probes.add();
-                    (self.carry_out)(Order::Probe { instance, address: known.address });
+                    (self.execute)(Command::Probe { worker, address: known.address });
                 }
             }
             Output::Subscribe => {
                 self.counters.watches.add();
-                (self.carry_out)(Order::Watch);
+                (self.execute)(Command::WatchList);
             }
         }
     }
 
-    fn execute(&mut self, execute: nickelflow_engine::StartAttempt<u64>) {
-        let nickelflow_engine::StartAttempt { id, attempt, worker: instance, deadline: until, send_by } =
-            execute;
-        let (Some(waiting), Some(known)) = (self.waiting.get(&id), self.engine.worker(instance)) else {
-            warn!(job = id, instance, "the engine names what the core does not know");
+    fn answer(&mut self, job: u64, answer: FinalAnswer) {
+        debug!(job, answer = answer.name(), "answer");
+        match answer {
+            FinalAnswer::Served(_) => self.counters.served.add(),
+            FinalAnswer::Rejected { .. } => self.counters.refused.add(),
+            FinalAnswer::Failed => self.counters.failed.add(),
+        }
+        if let Some(pending) = self.pending.remove(&job) {
+            // A client that has disconnected meanwhile takes no answer.
+            let _ = pending.answer.send(answer);
+        }
+    }
+
+    fn start_attempt(&mut self, start: StartAttempt<u64>) {
+        let StartAttempt { id: job, attempt, worker, deadline, send_by } = start;
+        let (Some(pending), Some(known)) = (self.pending.get(&job), self.engine.worker(worker)) else {
+            warn!(job, instance = worker, "the engine names what the core does not know");
             return;
         };
         self.counters.sent.add();
-        debug!(job = id, attempt, instance = known.name, "send");
-        let under = self.agreed.as_ref().map(|agreed| match Instant::now() < agreed.until {
-            true => Under { version: agreed.version.clone(), lapses: Some(agreed.until) },
-            false => Under { version: agreed.careful.clone(), lapses: None },
-        });
+        debug!(job, attempt, instance = known.name, "send");
+        let id = AttemptId { job, attempt };
         let (stop, stopped) = watch::channel(StopLevel::Continue);
-        self.stops.insert((id, attempt), stop);
-        (self.carry_out)(Order::Execute(Execute {
-            job: id,
-            attempt,
+        self.stops.insert(id, stop);
+        (self.execute)(Command::StartAttempt(AttemptRequest {
+            id,
             address: known.address,
-            until: self.clock.instant(until),
+            deadline: self.clock.instant(deadline),
             send_by: (send_by != Nanos::MAX).then(|| self.clock.instant(send_by)),
             stop: stopped,
-            under,
-            repeats: waiting.repeats,
-            parcel: waiting.parcel.clone(),
+            rules_lease: self.adopted_rules.as_ref().map(AdoptedRules::lease),
+            retry_safety: pending.retry_safety,
+            request: pending.request.clone(),
         }));
     }
 }
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 use tracing::info;
 
-use crate::counters::Shared;
+use crate::counters::SharedCounters;
 
 /// For 0.2 to 0.4 s after the signal new connections keep arriving; clients go on using those that they have.
 const CROSSING: Duration = Duration::from_millis(450);
@@ -23,7 +23,7 @@
 /// The times of a planned end, counted from its signal. SIGKILL is not announced: they must fit before the
 /// soonest one that the deadlines in the settings allow.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct ShutdownSchedule {
     /// Until then the door stays open: in a rolling restart the others may not be back yet, and whoever is
     /// sent away then finds nobody.
     pub closing: Duration,
@@ -31,11 +31,11 @@
     pub answered: Duration,
 }
 
-impl Terms {
-    pub fn new(longest_deadline: Duration) -> Terms {
+impl ShutdownSchedule {
+    pub fn new(longest_deadline: Duration) -> ShutdownSchedule {
         let kill = longest_deadline.min(LONGEST) + KILL;
         let answered = kill.saturating_sub(WRITING).max(CROSSING + Duration::from_millis(50));
-        Terms { closing: answered.saturating_sub(LAST).max(CROSSING), answered }
+        ShutdownSchedule { closing: answered.saturating_sub(LAST).max(CROSSING), answered }
     }
 }
 
@@ -51,14 +51,14 @@
 pub struct Shutdown(watch::Receiver<Stage>);
 
 /// Begins the shutdown.
-pub struct Trigger(watch::Sender<Stage>, Terms);
+pub struct ShutdownTrigger(watch::Sender<Stage>, ShutdownSchedule);
 
-pub fn shutdown(terms: Terms) -> (Trigger, Shutdown) {
+pub fn shutdown(terms: ShutdownSchedule) -> (ShutdownTrigger, Shutdown) {
     let (trigger, shutdown) = watch::channel(Stage::Serving);
-    (Trigger(trigger, terms), Shutdown(shutdown))
+    (ShutdownTrigger(trigger, terms), Shutdown(shutdown))
 }
 
-impl Trigger {
+impl ShutdownTrigger {
     /// Runs through the stages; what follows waits for what was taken by itself.
     pub async fn pull(&self) {
         let answer_by = Instant::now() + self.1.answered;
@@ -131,7 +131,7 @@
 
     /// Waits for the signal to end; meanwhile calls `read_again` on each SIGHUP, and prints the counters on
     /// each SIGUSR1.
-    pub async fn end(mut self, counters: Shared, read_again: impl Fn()) {
+    pub async fn end(mut self, counters: SharedCounters, read_again: impl Fn()) {
         loop {
             tokio::select! {
                 _ = self.term.recv() => return,
--- a/crates/daemon/src/start_times.rs
+++ b/crates/daemon/src/start_times.rs
@@ -19,7 +19,7 @@
 pub const TOLERANCE: Duration = Duration::from_secs(2 * 3_600);
 
 /// A worker's start as it was last told, and as it was understood.
-struct Start {
+struct WorkerStart {
     unix: Nanos,
     clock: Nanos,
 }
@@ -28,7 +28,7 @@
 pub struct StartTimes {
     /// What discovery's clock is ahead of the scheduler's, at least.
     ahead: i128,
-    known: HashMap<String, Start>,
+    known: HashMap<String, WorkerStart>,
 }
 
 impl StartTimes {
@@ -39,21 +39,21 @@
     }
 
     /// Takes in that these starts (Unix time) have been told, before any of the same list is understood.
-    pub fn told(&mut self, now: Nanos, starts: impl Iterator<Item = Nanos>) {
+    pub fn observe(&mut self, now: Nanos, starts: impl Iterator<Item = Nanos>) {
         if let Some(last) = starts.max() {
             self.ahead = self.ahead.max(i128::from(last) - i128::from(now));
         }
     }
 
     /// When a worker started at the latest, on the scheduler's clock. A later start that is told of it is a later one here.
-    pub fn understand(&mut self, name: &str, unix: Nanos) -> Nanos {
+    pub fn convert(&mut self, name: &str, unix: Nanos) -> Nanos {
         let clock = (i128::from(unix) - self.ahead).max(1) as Nanos;
         let clock = match self.known.get(name) {
             Some(before) if before.unix == unix => clock.min(before.clock),
             Some(before) if before.unix < unix => clock.max(before.clock + 1),
             _ => clock,
         };
-        self.known.insert(name.to_owned(), Start { unix, clock });
+        self.known.insert(name.to_owned(), WorkerStart { unix, clock });
         clock
     }
 }
--- a/crates/daemon/src/violations.rs
+++ b/crates/daemon/src/violations.rs
@@ -8,7 +8,7 @@
 use crate::counters::Counters;
 
 /// Takes note of one.
-pub fn found(counters: &Counters, operation: Operation, denial: Denial, request: &HeaderValue) {
+pub fn report(counters: &Counters, operation: Operation, denial: Denial, request: &HeaderValue) {
     counters.violations.add();
     counters.violation(operation, denial).add();
     error!(act = operation.name(), denial = denial.name(), ?request, "a rule was broken");
--- a/crates/daemon/src/worker_answer.rs
+++ b/crates/daemon/src/worker_answer.rs
@@ -10,7 +10,7 @@
 use tracing::warn;
 
 use crate::json;
-use crate::scheduler_loop::End;
+use crate::scheduler_loop::AttemptResult;
 
 /// The outcome, where the head of the answer tells it; a stream of lines tells it later.
 pub fn head_outcome(answer: &Response<Incoming>) -> Option<Outcome> {
@@ -66,14 +66,16 @@
 }
 
 /// What one line of an answer says.
-pub enum State {
-    Going,
-    Ended(End),
+pub enum WorkerMessage {
+    /// The worker is still at it.
+    Progress,
+    /// The attempt has ended.
+    Ended(AttemptResult),
 }
 
-impl State {
+impl WorkerMessage {
     /// Reads a line of an answer to the request of this id.
-    pub fn read(line: &[u8], request_id: &[u8]) -> Result<State, String> {
+    pub fn read(line: &[u8], request_id: &[u8]) -> Result<WorkerMessage, String> {
         let value = json::decode(line)?;
         let object: &HashMap<String, JsonValue> = value.get().ok_or("not an object")?;
         let text = |name: &str| object.get(name).and_then(|v| v.get::<String>());
@@ -81,11 +83,11 @@
             return Err("it is not of this request".to_owned());
         }
         let mut end = match text("state").map(String::as_str) {
-            Some("started" | "running") => return Ok(State::Going),
+            Some("started" | "running") => return Ok(WorkerMessage::Progress),
             Some("done") => {
                 let result = text("result").ok_or("done without a result")?;
                 let result = Some(Bytes::copy_from_slice(result.as_bytes()));
-                End { outcome: Outcome::Ok, result, report: None }
+                AttemptResult { outcome: Outcome::Ok, result, report: None }
             }
             Some("failed") => Outcome::Error.into(),
             Some("returned") => Outcome::Rejected.into(),
@@ -95,6 +97,6 @@
         if let Some(load) = object.get("load") {
             fill(end.report.insert(LoadReport::default()), load);
         }
-        Ok(State::Ended(end))
+        Ok(WorkerMessage::Ended(end))
     }
 }
--- a/crates/daemon/src/worker_pool.rs
+++ b/crates/daemon/src/worker_pool.rs
@@ -10,9 +10,9 @@
 use tokio::time::timeout;
 use tracing::{debug, warn};
 
-use crate::config::Links;
+use crate::config::WorkerConnectionConfig;
 use crate::connection::{ConnectError, Connection};
-use crate::counters::Shared;
+use crate::counters::SharedCounters;
 use crate::throttle::Throttle;
 
 /// A connection this near to the end of its idle time is not used again: a request that crosses the
@@ -26,7 +26,7 @@
 /// A connection that could not be made for a shortage here is tried again this soon.
 const LOCAL_PAUSE: Duration = Duration::from_millis(20);
 
-struct Pooled {
+struct IdleConnection {
     connection: Connection,
     since: Instant,
     /// When it last had the answer to a job.
@@ -40,7 +40,7 @@
 }
 
 /// A connection in use. Dropped, it closes.
-pub struct Lease {
+pub struct CheckedOutConnection {
     pub connection: Connection,
     permit: OwnedSemaphorePermit,
     pub address: SocketAddr,
@@ -50,7 +50,7 @@
 
 /// Which connection will do.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Wanted {
+pub enum ConnectionPreference {
     Any,
     /// A new one, or a kept one that has settled.
     Settled,
@@ -61,10 +61,10 @@
 pub struct WorkerPool {
     /// Until when kept connections are not trusted.
     distrust: Mutex<Option<Instant>>,
-    idle: Mutex<HashMap<SocketAddr, Vec<Pooled>>>,
+    idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
     permits: Arc<Semaphore>,
-    links: Links,
-    counters: Shared,
+    worker_connections: WorkerConnectionConfig,
+    counters: SharedCounters,
     /// When a connection last came up.
     came_up: Mutex<Option<Instant>>,
     shortages: Mutex<Throttle>,
@@ -76,12 +76,16 @@
 
 impl WorkerPool {
     /// One of at most so many connections.
-    pub fn new(most: usize, links: Links, counters: Shared) -> WorkerPool {
+    pub fn new(
+        most: usize,
+        worker_connections: WorkerConnectionConfig,
+        counters: SharedCounters,
+    ) -> WorkerPool {
         WorkerPool {
             distrust: Mutex::default(),
             idle: Mutex::default(),
             permits: Arc::new(Semaphore::new(most)),
-            links,
+            worker_connections,
             counters,
             came_up: Mutex::default(),
             shortages: Mutex::default(),
@@ -92,14 +96,14 @@
     pub async fn lease(
         &self,
         address: SocketAddr,
-        wanted: Wanted,
+        wanted: ConnectionPreference,
         patience: Duration,
-    ) -> Result<Lease, Outcome> {
+    ) -> Result<CheckedOutConnection, Outcome> {
         while let Some(pooled) = self.take(address, wanted) {
             if pooled.connection.usable() {
                 self.counters.reuses.add();
-                let Pooled { connection, permit, answered, .. } = pooled;
-                return Ok(Lease { connection, permit, address, reused: true, answered });
+                let IdleConnection { connection, permit, answered, .. } = pooled;
+                return Ok(CheckedOutConnection { connection, permit, address, reused: true, answered });
             }
         }
         let permit = match self.permits.clone().try_acquire_owned() {
@@ -107,13 +111,14 @@
             Err(_) => {
                 // All descriptors are in use: an idle connection to some other worker gives way.
                 self.drop_oldest();
-                let permit = timeout(self.links.connect, self.permits.clone().acquire_owned()).await;
+                let permit =
+                    timeout(self.worker_connections.connect, self.permits.clone().acquire_owned()).await;
                 // The worker has no part in that.
                 permit.ok().and_then(Result::ok).ok_or(Outcome::NotSent)?
             }
         };
         let connection = self.open(address, patience).await?;
-        Ok(Lease { connection, permit, address, reused: false, answered: None })
+        Ok(CheckedOutConnection { connection, permit, address, reused: false, answered: None })
     }
 
     /// Opens a connection; a worker is not blamed for what this side lacks.
@@ -121,7 +126,7 @@
         let began = Instant::now();
         loop {
             self.counters.connects.add();
-            let error = match Connection::open(address, self.links.connect).await {
+            let error = match Connection::open(address, self.worker_connections.connect).await {
                 Ok(connection) => {
                     *lock(&self.came_up) = Some(Instant::now());
                     return Ok(connection);
@@ -148,7 +153,7 @@
     fn blame(&self, error: &ConnectError, began: Instant) -> Outcome {
         let others_reached = lock(&self.came_up).is_some_and(|at| at >= began);
         match error {
-            ConnectError::NoWay(_) if others_reached => Outcome::ConnectFailed,
+            ConnectError::NoRoute(_) if others_reached => Outcome::ConnectFailed,
             _ => Outcome::NotSent,
         }
     }
@@ -166,13 +171,13 @@
     }
 
     /// The connection used last that will do: the others may then close for idleness.
-    fn take(&self, address: SocketAddr, wanted: Wanted) -> Option<Pooled> {
-        let will_do = |pooled: &Pooled| match wanted {
-            Wanted::Any => true,
-            Wanted::Settled => settled(pooled.answered),
-            Wanted::New => false,
+    fn take(&self, address: SocketAddr, wanted: ConnectionPreference) -> Option<IdleConnection> {
+        let will_do = |pooled: &IdleConnection| match wanted {
+            ConnectionPreference::Any => true,
+            ConnectionPreference::Settled => settled(pooled.answered),
+            ConnectionPreference::New => false,
         };
-        let usable = self.links.idle.saturating_sub(IDLE_MARGIN);
+        let usable = self.worker_connections.idle.saturating_sub(IDLE_MARGIN);
         let mut all = lock(&self.idle);
         let idle = all.get_mut(&address)?;
         let last = idle.iter().rposition(will_do)?;
@@ -181,9 +186,9 @@
     }
 
     /// Keeps a connection on which nothing is open.
-    pub fn give_back(&self, lease: Lease) {
-        let Lease { connection, permit, address, answered, .. } = lease;
-        let pooled = Pooled { connection, since: Instant::now(), answered, permit };
+    pub fn give_back(&self, lease: CheckedOutConnection) {
+        let CheckedOutConnection { connection, permit, address, answered, .. } = lease;
+        let pooled = IdleConnection { connection, since: Instant::now(), answered, permit };
         if self.trusting() {
             lock(&self.idle).entry(address).or_default().push(pooled);
         }
@@ -206,7 +211,7 @@
     pub async fn sweep(&self) {
         loop {
             tokio::time::sleep(Duration::from_secs(1)).await;
-            let usable = self.links.idle.saturating_sub(IDLE_MARGIN);
+            let usable = self.worker_connections.idle.saturating_sub(IDLE_MARGIN);
             lock(&self.idle).retain(|_, idle| {
                 idle.retain(|pooled| pooled.since.elapsed() < usable && pooled.connection.usable());
                 !idle.is_empty()
--- a/crates/daemon/src/write_guard.rs
+++ b/crates/daemon/src/write_guard.rs
@@ -16,20 +16,20 @@
 
 /// Whether a client is still there, by a look at its socket.
 #[derive(Clone)]
-pub struct Presence(Arc<dyn Fn() -> bool + Send + Sync>);
+pub struct ClientPresence(Arc<dyn Fn() -> bool + Send + Sync>);
 
-impl Presence {
+impl ClientPresence {
     /// Known by a look that tells whether the client has left.
-    pub fn new(has_left: impl Fn() -> bool + Send + Sync + 'static) -> Presence {
-        Presence(Arc::new(has_left))
+    pub fn new(has_left: impl Fn() -> bool + Send + Sync + 'static) -> ClientPresence {
+        ClientPresence(Arc::new(has_left))
     }
 
     /// Of somebody who never leaves.
-    pub fn lasting() -> Presence {
-        Presence::new(|| false)
+    pub fn lasting() -> ClientPresence {
+        ClientPresence::new(|| false)
     }
 
-    pub fn has_left(&self) -> bool {
+    pub fn has_disconnected(&self) -> bool {
         (self.0)()
     }
 }
@@ -37,28 +37,28 @@
 /// What bounds the write of one attempt.
 pub struct WriteGuard {
     pub stop: watch::Receiver<StopLevel>,
-    pub client: Presence,
+    pub client: ClientPresence,
     /// When its client gives up.
     pub deadline: Instant,
     /// Until when a repeat may be written.
-    pub window: Option<Instant>,
+    pub resend_deadline: Option<Instant>,
     /// Until when the rules hold that it was decided by.
-    pub lapses: Option<Instant>,
+    pub rules_valid_until: Option<Instant>,
     /// When the time left that its head tells was read.
     pub head_read: Instant,
 }
 
 impl WriteGuard {
     /// Leave to write a byte now; `begun` if one has gone out already.
-    pub fn permit(&self, begun: bool) -> Result<Permit<()>, Denial> {
+    pub fn permit(&self, started: bool) -> Result<Permit<()>, Denial> {
         let facts = WriteFacts {
             now: Instant::now(),
-            started: begun,
+            started: started,
             stop: *self.stop.borrow(),
-            client_disconnected: !begun && self.client.has_left(),
+            client_disconnected: !started && self.client.has_disconnected(),
             deadline: self.deadline,
-            resend_deadline: self.window,
-            rules_valid_until: self.lapses,
+            resend_deadline: self.resend_deadline,
+            rules_valid_until: self.rules_valid_until,
             headers_valid_until: self.head_read + HEAD_AGE,
         };
         permits::write(&facts)
@@ -68,14 +68,14 @@
     pub fn broken_by(&self, written: Instant) -> Option<Denial> {
         let over = |until: Option<Instant>| until.is_some_and(|until| until <= written);
         let found = [
-            (over(self.window), Denial::DeduplicationWindowExpired),
-            (over(self.lapses), Denial::RulesExpired),
+            (over(self.resend_deadline), Denial::DeduplicationWindowExpired),
+            (over(self.rules_valid_until), Denial::RulesExpired),
         ];
         found.into_iter().find(|(broken, _)| *broken).map(|(_, denial)| denial)
     }
 
     /// When it is too late to write anything more of it.
     pub fn write_by(&self) -> Option<Instant> {
-        [self.window, self.lapses].into_iter().flatten().min()
+        [self.resend_deadline, self.rules_valid_until].into_iter().flatten().min()
     }
 }
--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -6,11 +6,11 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use nickelflow_daemon::attempt::{Instances, Parcel};
-use nickelflow_daemon::config::Links;
-use nickelflow_daemon::counters::Shared;
-use nickelflow_daemon::scheduler_loop::{Execute, Input, Repeats, StopLevel};
-use nickelflow_daemon::write_guard::Presence;
+use nickelflow_daemon::attempt::{ForwardedRequest, WorkerClient};
+use nickelflow_daemon::config::WorkerConnectionConfig;
+use nickelflow_daemon::counters::SharedCounters;
+use nickelflow_daemon::scheduler_loop::{AttemptId, AttemptRequest, Event, RetrySafety, StopLevel};
+use nickelflow_daemon::write_guard::ClientPresence;
 use nickelflow_engine::Outcome;
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -28,53 +28,56 @@
 const TURNED_AWAY: &str = "HTTP/1.1 503 Service Unavailable\r\nnot-started: 1\r\ncontent-length: 0\r\n\r\n";
 
 struct Pool {
-    instances: Arc<Instances>,
-    ends: mpsc::UnboundedReceiver<Input<Parcel>>,
-    counters: Shared,
+    client: Arc<WorkerClient>,
+    ends: mpsc::UnboundedReceiver<Event<ForwardedRequest>>,
+    counters: SharedCounters,
 }
 
 impl Pool {
     fn new(connect: Duration) -> Pool {
         let (queue, ends) = mpsc::unbounded_channel();
-        let links = Links { connect, idle: Duration::from_secs(10), grace: Duration::from_millis(500) };
-        let counters = Shared::default();
-        Pool { instances: Instances::new(16, links, counters.clone(), queue), ends, counters }
+        let config = WorkerConnectionConfig {
+            connect,
+            idle: Duration::from_secs(10),
+            grace: Duration::from_millis(500),
+        };
+        let counters = SharedCounters::default();
+        Pool { client: WorkerClient::new(16, config, counters.clone(), queue), ends, counters }
     }
 
     /// An attempt; its task ends when its connection is given back or gone.
     fn begin(
         &self,
         address: SocketAddr,
-        repeats: Repeats,
+        retry_safety: RetrySafety,
         send_by: Option<Instant>,
     ) -> (watch::Sender<StopLevel>, JoinHandle<()>) {
         let (stop, stopped) = watch::channel(StopLevel::Continue);
-        let parcel = Parcel {
+        let request = ForwardedRequest {
             method: "POST".parse().expect("a method"),
             target: "/api".parse().expect("a target"),
-            client: Presence::lasting(),
+            client: ClientPresence::lasting(),
             request_id: "1".parse().expect("an id"),
             headers: vec![],
             body: Bytes::from(vec![b'x'; 60_000]),
         };
-        let execute = Execute {
-            job: 1,
-            attempt: 0,
+        let attempt = AttemptRequest {
+            id: AttemptId { job: 1, attempt: 0 },
             address,
-            until: Instant::now() + PATIENCE,
+            deadline: Instant::now() + PATIENCE,
             send_by,
             stop: stopped,
-            under: None,
-            repeats,
-            parcel: Arc::new(parcel),
+            rules_lease: None,
+            retry_safety,
+            request: Arc::new(request),
         };
-        (stop, tokio::spawn(self.instances.clone().execute(execute)))
+        (stop, tokio::spawn(self.client.clone().execute(attempt)))
     }
 
     async fn end(&mut self) -> Outcome {
         loop {
             match tokio::time::timeout(PATIENCE, self.ends.recv()).await.expect("an end in time") {
-                Some(Input::Ended { end, .. }) => return end.outcome,
+                Some(Event::AttemptEnded { result, .. }) => return result.outcome,
                 Some(_) => {}
                 None => panic!("the pool is gone"),
             }
@@ -124,7 +127,7 @@
 async fn kept(idle: Duration) -> (Pool, TcpListener, SocketAddr, TcpStream) {
     let mut pool = Pool::new(Duration::from_secs(5));
     let (listener, address) = listener().await;
-    let (_stop, given_back) = pool.begin(address, Repeats::Harmless, None);
+    let (_stop, given_back) = pool.begin(address, RetrySafety::Safe, None);
     let mut stream = accept(&listener).await;
     assert!(request(&mut stream).await);
     stream.write_all(SERVED.as_bytes()).await.expect("to write");
@@ -135,20 +138,20 @@
 }
 
 #[rstest]
-#[case(Repeats::Harmless, Duration::ZERO, true)]
-#[case(Repeats::Dropped, Duration::ZERO, true)]
-#[case(Repeats::Never, Duration::ZERO, false)]
-#[case(Repeats::Never, SETTLED * 3 / 2, true)]
+#[case(RetrySafety::Safe, Duration::ZERO, true)]
+#[case(RetrySafety::Deduplicated, Duration::ZERO, true)]
+#[case(RetrySafety::Unsafe, Duration::ZERO, false)]
+#[case(RetrySafety::Unsafe, SETTLED * 3 / 2, true)]
 #[tokio::test]
 async fn a_job_that_must_not_run_twice_takes_a_kept_connection_only_once_it_has_settled(
-    #[case] repeats: Repeats,
+    #[case] retry_safety: RetrySafety,
     #[case] idle: Duration,
     #[case] reused: bool,
 ) {
     for _ in 0..REPLAYS {
         let (mut pool, listener, address, mut first) = kept(idle).await;
         let before = Instant::now();
-        let (_stop, _) = pool.begin(address, repeats, None);
+        let (_stop, _) = pool.begin(address, retry_safety, None);
         let mut second = None;
         let stream = if reused { &mut first } else { second.insert(accept(&listener).await) };
         // Where this machine stood still for so long the connection has settled: played again.
@@ -165,20 +168,20 @@
 }
 
 #[rstest]
-#[case(Repeats::Harmless, Duration::ZERO, Outcome::Rejected)]
-#[case(Repeats::Dropped, Duration::ZERO, Outcome::Reset)]
-#[case(Repeats::Dropped, SETTLED * 3 / 2, Outcome::Rejected)]
-#[case(Repeats::Never, SETTLED * 3 / 2, Outcome::Rejected)]
+#[case(RetrySafety::Safe, Duration::ZERO, Outcome::Rejected)]
+#[case(RetrySafety::Deduplicated, Duration::ZERO, Outcome::Reset)]
+#[case(RetrySafety::Deduplicated, SETTLED * 3 / 2, Outcome::Rejected)]
+#[case(RetrySafety::Unsafe, SETTLED * 3 / 2, Outcome::Rejected)]
 #[tokio::test]
 async fn a_head_that_may_be_of_the_job_before_does_not_prove_that_this_one_never_ran(
-    #[case] repeats: Repeats,
+    #[case] retry_safety: RetrySafety,
     #[case] idle: Duration,
     #[case] outcome: Outcome,
 ) {
     for _ in 0..REPLAYS {
         let (mut pool, _listener, address, mut stream) = kept(idle).await;
         let before = Instant::now();
-        let (_stop, _) = pool.begin(address, repeats, None);
+        let (_stop, _) = pool.begin(address, retry_safety, None);
         assert!(request(&mut stream).await);
         stream.write_all(TURNED_AWAY.as_bytes()).await.expect("to write");
         let ended = pool.end().await;
@@ -195,7 +198,7 @@
 async fn a_head_on_a_new_connection_proves_that_the_job_never_ran() {
     let mut pool = Pool::new(Duration::from_secs(5));
     let (listener, address) = listener().await;
-    let (_stop, _) = pool.begin(address, Repeats::Never, None);
+    let (_stop, _) = pool.begin(address, RetrySafety::Unsafe, None);
     let mut stream = accept(&listener).await;
     assert!(request(&mut stream).await);
     stream.write_all(TURNED_AWAY.as_bytes()).await.expect("to write");
@@ -207,7 +210,7 @@
     // The kernel had taken all of it: how much of that arrived nobody tells.
     let mut pool = Pool::new(Duration::from_secs(5));
     let (listener, address) = listener().await;
-    let (_stop, _) = pool.begin(address, Repeats::Never, None);
+    let (_stop, _) = pool.begin(address, RetrySafety::Unsafe, None);
     let mut stream = accept(&listener).await;
     let mut start = [0; 100];
     stream.read_exact(&mut start).await.expect("its start");
@@ -220,7 +223,7 @@
 async fn nothing_is_written_once_it_is_too_late() {
     for idle in [Duration::ZERO, SETTLED * 3 / 2] {
         let (mut pool, listener, address, mut stream) = kept(idle).await;
-        let (_stop, _) = pool.begin(address, Repeats::Dropped, Some(Instant::now()));
+        let (_stop, _) = pool.begin(address, RetrySafety::Deduplicated, Some(Instant::now()));
         assert_eq!(pool.end().await, Outcome::NotSent);
         drop(pool);
         let mut byte = [0];
@@ -240,7 +243,7 @@
     socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     let listener = socket.listen(0).expect("to listen");
     let address = listener.local_addr().expect("its address");
-    let (_first, given_back) = pool.begin(address, Repeats::Harmless, None);
+    let (_first, given_back) = pool.begin(address, RetrySafety::Safe, None);
     let mut stream = accept(&listener).await;
     assert!(request(&mut stream).await);
     stream.write_all(SERVED.as_bytes()).await.expect("to write");
@@ -249,7 +252,7 @@
     let crowd = TcpStream::connect(address).await.expect("to connect");
     drop(stream);
     let stop = loop {
-        let (stop, attempt) = pool.begin(address, Repeats::Harmless, None);
+        let (stop, attempt) = pool.begin(address, RetrySafety::Safe, None);
         let second = async {
             while pool.count("connects") < 2 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -11,8 +11,8 @@
 
 use common::{config, Program, PATIENCE};
 use nickelflow_daemon::discovery::{DiscoveryClient, WatchEnd, WatchTiming, TOLD};
-use nickelflow_daemon::endpoint_list::{EntryNames, List};
-use nickelflow_daemon::scheduler_loop::Input;
+use nickelflow_daemon::endpoint_list::{EndpointList, EntryNames};
+use nickelflow_daemon::scheduler_loop::Event;
 use nickelflow_engine::ListKind;
 use rstest::rstest;
 use tokio::io::AsyncReadExt;
@@ -352,7 +352,7 @@
     assert_eq!(silent.kind(), std::io::ErrorKind::WouldBlock);
 }
 
-type Told = mpsc::UnboundedReceiver<Input<()>>;
+type Told = mpsc::UnboundedReceiver<Event<()>>;
 
 /// A client that has been asked for a watch, and what it tells the core.
 fn client(discovery: SocketAddr, pushed: bool) -> Told {
@@ -375,14 +375,14 @@
     };
     tokio::spawn(async move {
         let _asks = ask;
-        client.run(List { index: 41, snapshot: true, entries: vec![], skipped: vec![] }).await;
+        client.run(EndpointList { index: 41, snapshot: true, entries: vec![], skipped: vec![] }).await;
     });
     (told, sender)
 }
 
 async fn next(told: &mut Told) -> ListKind {
     match tokio::time::timeout(PATIENCE, told.recv()).await {
-        Ok(Some(Input::Listed { kind, .. })) => kind,
+        Ok(Some(Event::WorkerList { kind, .. })) => kind,
         Ok(_) => panic!("not a list"),
         Err(_) => panic!("the core was told nothing"),
     }
--- a/crates/daemon/tests/start_times.rs
+++ b/crates/daemon/tests/start_times.rs
@@ -17,8 +17,8 @@
 
 /// The age (s) that a worker has by then, of which this start has been told.
 fn age(times: &mut StartTimes, now: u64, name: &str, unix: u64) -> u64 {
-    times.told(now, [unix].into_iter());
-    (now - times.understand(name, unix)) / S
+    times.observe(now, [unix].into_iter());
+    (now - times.convert(name, unix)) / S
 }
 
 #[rstest]
@@ -41,8 +41,8 @@
 #[test]
 fn of_two_starts_the_earlier_is_older_by_the_difference() {
     let mut times = starts(3_600);
-    times.told(NOW, [UNIX - 100 * S, UNIX].into_iter());
-    let (old, young) = (times.understand("old", UNIX - 100 * S), times.understand("young", UNIX));
+    times.observe(NOW, [UNIX - 100 * S, UNIX].into_iter());
+    let (old, young) = (times.convert("old", UNIX - 100 * S), times.convert("young", UNIX));
     assert_eq!((young - old) / S, 100);
     assert!(young <= NOW);
 }
@@ -60,15 +60,15 @@
 #[test]
 fn a_later_start_is_later_also_where_the_clock_became_surer_in_between() {
     let mut times = starts(-3_600);
-    times.told(NOW, [UNIX - 50 * S].into_iter());
-    let before = times.understand("w", UNIX - 50 * S);
+    times.observe(NOW, [UNIX - 50 * S].into_iter());
+    let before = times.convert("w", UNIX - 50 * S);
     assert_eq!(before, NOW);
     // Another one tells that discovery's clock is further.
-    times.told(NOW + S, [UNIX + S].into_iter());
-    let after = times.understand("w", UNIX - 49 * S);
+    times.observe(NOW + S, [UNIX + S].into_iter());
+    let after = times.convert("w", UNIX - 49 * S);
     assert!(after > before);
     // Told again, the first start is by now known to be older.
-    assert!(times.understand("x", UNIX - 50 * S) < before);
+    assert!(times.convert("x", UNIX - 50 * S) < before);
 }
 
 #[test]
