--- a/crates/daemon/src/rules_conversion.rs
+++ b/crates/daemon/src/rules_conversion.rs
@@ -6,7 +6,7 @@
 
 use hyper::header::HeaderValue;
 use nickelflow_control_plane::{ActiveRules, ControlPlane};
-use nickelflow_engine::{hash, DegradedRules, Rules, WorkerRestriction};
+use nickelflow_engine::{hash, DegradedRules, RetryAfterBounds, Rules, WorkerRestriction};
 use nickelflow_rollout::{RulesStep, Version, WorkerAccess};
 use tokio::sync::{mpsc, watch};
 use tracing::warn;
@@ -43,7 +43,7 @@
             (Some(now), _) => of(&now, &tenants),
             // Before the first lease it has no part of anything.
             (None, _) => AdoptedRules {
-                rules: Arc::new(Rules::none(1, (0, u64::MAX))),
+                rules: Arc::new(Rules::none(1, RetryAfterBounds { shortest: 0, longest: u64::MAX })),
                 valid_until: Instant::now(),
                 version: HeaderValue::from_static("none"),
                 degraded_version: HeaderValue::from_static("none"),
@@ -102,7 +102,7 @@
     Rules {
         quota_shares: step.quota_shares,
         max_attempts: step.max_attempts,
-        retry_after: (u64::from(least) * MS, u64::from(most) * MS),
+        retry_after: RetryAfterBounds { shortest: u64::from(least) * MS, longest: u64::from(most) * MS },
         tenant_rates_per_s: limits,
         worker_restrictions: workers,
         tenants_with_reserved_workers: owners,
--- a/crates/dispatcher/src/active_rules.rs
+++ b/crates/dispatcher/src/active_rules.rs
@@ -11,7 +11,7 @@
 const BURST_S: f64 = 0.25;
 /// Wait (s) of a request for which there is no rate while the rules have lapsed.
 const DEGRADED_WAIT_S: f64 = 1.0;
-/// Longest wait (s) that is told a tenant over its rate.
+/// Longest wait (s) that is returned for a tenant over its rate.
 const MAX_WAIT_S: f64 = 3_600.0;
 /// Lowest rate by which a wait is divided.
 const MIN_RATE_PER_S: f64 = 1e-6;
@@ -100,8 +100,8 @@
         let has_lapsed = self.has_lapsed(now);
         let rate = |tenant: u32| Some((tenant, *rules.tenant_rates_per_s.get(&tenant)?));
         let Some((tenant, total_rate)) = tenant.and_then(rate) else {
-            let refused = has_lapsed && !rules.degraded.allows_unlimited_tenants;
-            return refused.then_some((DEGRADED_WAIT_S * NANOS_PER_SECOND) as Nanos);
+            let is_rejected = has_lapsed && !rules.degraded.allows_unlimited_tenants;
+            return is_rejected.then_some((DEGRADED_WAIT_S * NANOS_PER_SECOND) as Nanos);
         };
         let validity_factor = if has_lapsed { rules.degraded.quota_share } else { 1.0 };
         let rate = total_rate / f64::from(rules.quota_shares.max(1)) * validity_factor;
@@ -126,6 +126,8 @@
 
     /// Returns a Retry-After (ns) within the bounds of the rules.
     pub(crate) fn bounded_retry_after(&self, wanted: Nanos) -> Nanos {
-        self.rules.as_ref().map_or(wanted, |rules| wanted.max(rules.retry_after.0).min(rules.retry_after.1))
+        self.rules
+            .as_ref()
+            .map_or(wanted, |rules| wanted.max(rules.retry_after.shortest).min(rules.retry_after.longest))
     }
 }
--- a/crates/dispatcher/src/dispatcher/admission.rs
+++ b/crates/dispatcher/src/dispatcher/admission.rs
@@ -145,7 +145,7 @@
         self.probe_next_candidate(id, search, actions);
     }
 
-    /// Returns whether a late answer to the request is worth anything.
+    /// Returns whether a late answer to the request has any value.
     pub(super) fn late_answer_counts(&self, job: &Job) -> bool {
         self.class_of(job).late_weight_share > 0.0
     }
--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -205,8 +205,8 @@
         match outcome.outcome {
             Outcome::Ok => worker.record_success(),
             Outcome::Error | Outcome::Timeout => worker.record_failure(FailureWeight::Full),
-            // Connections break, and jobs are killed, one by one; whether the worker has gone its probe
-            // tells.
+            // Connections break, and jobs are killed, one by one; the next probe shows whether the worker has
+            // gone.
             Outcome::Rejected | Outcome::Reset | Outcome::ConnectFailed => {
                 worker.record_failure(FailureWeight::Minor);
             }
--- a/crates/dispatcher/src/dispatcher/slow_start.rs
+++ b/crates/dispatcher/src/dispatcher/slow_start.rs
@@ -24,7 +24,7 @@
     }
 
     /// Returns how much of the traffic a worker is to get, where a usual one gets 1. What a warming worker
-    /// can do is a part of the fleet's, and so it is pressed as hard as the others are, far below what
+    /// can do is a part of the fleet's, and so it is loaded as much as the others are, far below what
     /// overloads it.
     pub(super) fn traffic_weight(&self, index: usize) -> Option<f64> {
         let worker = self.workers.get(index)?;
--- a/crates/dispatcher/src/event.rs
+++ b/crates/dispatcher/src/event.rs
@@ -33,12 +33,12 @@
 }
 
 impl LoadReport {
-    /// Returns the free slots if they are told and possible.
+    /// Returns the free slots if they are reported and possible.
     pub(crate) fn valid_free_slots(&self) -> Option<f64> {
         valid(self.free_slots)
     }
 
-    /// Returns the queued jobs, 0 if they are not told or impossible.
+    /// Returns the queued jobs, 0 if they are not reported or impossible.
     pub(crate) fn valid_queued(&self) -> f64 {
         valid(self.queued).unwrap_or(0.0)
     }
--- a/crates/dispatcher/src/ids.rs
+++ b/crates/dispatcher/src/ids.rs
@@ -1,6 +1,6 @@
 //! Identifiers that the caller assigns.
 
-/// Identifies a worker; the caller numbers workers from 0 in the order in which it first heard of them.
+/// Identifies a worker; the caller numbers workers from 0 in the order in which they were first listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub u32);
 
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -116,7 +116,7 @@
 pub use dispatcher::Dispatcher;
 pub use event::{Event, ListKind, LoadReport, Outcome, Request};
 pub use ids::{RequestId, WorkerId};
-pub use rules::{DegradedRules, Rules, WorkerRestriction};
+pub use rules::{DegradedRules, RetryAfterBounds, Rules, WorkerRestriction};
 pub use settings::{Class, DeduplicationScope, Idempotency, ServiceLimits, Settings, SettingsError, Tenant};
 pub use time::Nanos;
 pub use worker_entry::{WorkerEntry, WorkerStatus};
--- a/crates/dispatcher/src/rules.rs
+++ b/crates/dispatcher/src/rules.rs
@@ -13,8 +13,8 @@
     pub quota_shares: u32,
     /// Attempts that a request may have at most, beside the limit in the settings.
     pub max_attempts: u32,
-    /// Shortest and longest Retry-After (ns).
-    pub retry_after: (Nanos, Nanos),
+    /// Bounds of a Retry-After.
+    pub retry_after: RetryAfterBounds,
     /// Requests a second that all dispatchers together accept from a tenant.
     pub tenant_rates_per_s: BTreeMap<u32, f64>,
     /// Workers that are not open to all tenants.
@@ -25,6 +25,15 @@
     pub degraded: DegradedRules,
 }
 
+/// Bounds of a Retry-After.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RetryAfterBounds {
+    /// The shortest (ns).
+    pub shortest: Nanos,
+    /// The longest (ns).
+    pub longest: Nanos,
+}
+
 /// What a dispatcher may do while it cannot know whether its rules still apply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DegradedRules {
@@ -53,8 +62,8 @@
 
 impl Rules {
     /// Returns the rules of a dispatcher that knows that there are rules and has never had any: it has no
-    /// share of anything. `retry_after` is the shortest and the longest Retry-After (ns).
-    pub fn none(max_attempts: u32, retry_after: (Nanos, Nanos)) -> Rules {
+    /// share of anything.
+    pub fn none(max_attempts: u32, retry_after: RetryAfterBounds) -> Rules {
         let degraded = DegradedRules {
             quota_share: 0.0,
             allowed_workers: BTreeSet::new(),
--- a/crates/dispatcher/src/service_rate.rs
+++ b/crates/dispatcher/src/service_rate.rs
@@ -172,7 +172,7 @@
         self.kinds.get(&kind).is_some_and(|kind| kind.arrivals > 1.0)
     }
 
-    /// Returns the jobs at a worker of a kind by its report; `None` if it does not tell its free slots.
+    /// Returns the jobs at a worker of a kind by its report; `None` if the report has no free slots.
     pub fn jobs_at_worker(&self, kind: u32, report: &LoadReport) -> Option<f64> {
         let queued = if self.includes_queue { report.valid_queued() } else { 0.0 };
         let slots = self.kinds.get(&kind).map_or(1.0, |kind| kind.max_slots);
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -42,9 +42,9 @@
     pub latency_stretch: f64,
     /// How long (ns) a client waits in total, over all its retries.
     pub deadline: Nanos,
-    /// What an answer in time is worth, against that to requests of other classes.
+    /// The value of an answer in time, relative to that of requests of other classes.
     pub priority_weight: f64,
-    /// Share of `priority_weight` that an answer after the objective is still worth, from 0 to 1.
+    /// Share of `priority_weight` that an answer after the objective still counts, from 0 to 1.
     pub late_weight_share: f64,
     /// The only kind of worker that runs this class, if it needs one.
     pub required_kind: Option<u32>,
@@ -97,7 +97,7 @@
     /// Multiple of its present capacity that overloads a warming worker, if it is sent more than that for
     /// `overload_duration`.
     pub overload_multiple: f64,
-    /// How long (ns) a warming worker bears an overload before it fails.
+    /// How long (ns) an overload lasts before a warming worker fails.
     pub overload_duration: Nanos,
     /// How long (ns) a list of workers is valid without a subscription.
     pub unsubscribed_list_validity: Nanos,
--- a/crates/dispatcher/src/slow_start.rs
+++ b/crates/dispatcher/src/slow_start.rs
@@ -11,11 +11,12 @@
 use crate::time::{Nanos, NANOS_PER_SECOND};
 use crate::worker_entry::WorkerEntry;
 
-/// Share of what a warming worker bears that is used at most: it can do less than that itself.
+/// Share of the overload limit of a warming worker that is used at most: its normal capacity is below that.
 const MAX_USED_SHARE: f64 = 0.5;
 /// What a bucket holds at most, as a share of what a window brings it.
 const BURST: f64 = 0.5;
-/// More than a warming worker bears comes in a window with a probability below e to the power of minus this.
+/// The overload limit of a warming worker is exceeded in a window with a probability below e to the power of
+/// minus this.
 const OVERLOAD_EXPONENT: f64 = 11.5;
 /// Up to so many dispatchers with token buckets, half of N in all has stayed below the bound in virtual time,
 /// where the bound's own mean leaves warming workers with long jobs next to nothing.
@@ -26,8 +27,8 @@
 const MIN_WINDOW_S: f64 = 1e-3;
 /// Rate (jobs a second) that stands for none: times until the next job stay finite.
 const MIN_RATE_PER_S: f64 = 1e-9;
-/// Jobs in a window that a warming worker bears however little it can do: N + 2 * sqrt(N) + 2 is more than
-/// that.
+/// Jobs in a window that never overload a warming worker, however little it can do: N + 2 * sqrt(N) + 2 is
+/// more than that.
 const ALWAYS_BORNE_JOBS: u32 = 2;
 
 impl ServiceLimits {
--- a/crates/dispatcher/src/slow_start_admission.rs
+++ b/crates/dispatcher/src/slow_start_admission.rs
@@ -86,7 +86,8 @@
     }
 
     /// Draws whether a job may go to a warming worker, of which `worker_requests` counts the requests. Most
-    /// dispatchers ask for one worker so seldom that only its requests for all of them tell how often.
+    /// dispatchers request one worker so seldom that the frequency can only be estimated from the requests
+    /// for all of them.
     pub fn admits(&mut self, request: &AdmissionRequest, worker_requests: &mut RequestFrequency) -> bool {
         let now = request.now;
         let pause = now.saturating_sub(self.requests.updated_at);
--- a/crates/dispatcher/src/traffic.rs
+++ b/crates/dispatcher/src/traffic.rs
@@ -3,7 +3,7 @@
 use crate::settings::{Class, Settings, Tenant};
 use crate::time::{Nanos, NANOS_PER_SECOND};
 
-/// Slots of a worker that has not told them.
+/// Slots of a worker that has not reported them.
 pub const DEFAULT_SLOTS: f64 = 4.0;
 /// The share of a worker's slots that is in use on an ordinary day.
 pub const TYPICAL_UTILIZATION: f64 = 0.5;
--- a/crates/dispatcher/src/worker.rs
+++ b/crates/dispatcher/src/worker.rs
@@ -20,7 +20,7 @@
     /// The worker is at fault.
     Full,
     /// Something that also happens to healthy workers, one attempt at a time: a rejection or a broken
-    /// connection. Whether the worker is at fault, its probe tells.
+    /// connection. Its next probe shows whether the worker is at fault.
     Minor,
 }
 
--- a/crates/dispatcher/tests/active_rules.rs
+++ b/crates/dispatcher/tests/active_rules.rs
@@ -26,7 +26,7 @@
     Rules {
         quota_shares: 1,
         max_attempts: 4,
-        retry_after: (0, 600 * S),
+        retry_after: RetryAfterBounds { shortest: 0, longest: 600 * S },
         tenant_rates_per_s: BTreeMap::new(),
         worker_restrictions: BTreeMap::new(),
         tenants_with_reserved_workers: BTreeSet::new(),
@@ -189,7 +189,7 @@
 #[test]
 fn over_its_rate_a_tenant_is_rejected_at_once_with_a_bounded_retry_after() {
     let mut harness = harness_with(1, 9.0);
-    let retry_after = (700 * MS, 900 * MS);
+    let retry_after = RetryAfterBounds { shortest: 700 * MS, longest: 900 * MS };
     let rules = Rules { tenant_rates_per_s: [(TENANT, 0.001)].into(), retry_after, ..open_rules() };
     apply_rules(&mut harness, &Arc::new(rules), 100 * S);
     submit(&mut harness, 0, TENANT);
@@ -239,7 +239,7 @@
 #[test]
 fn a_dispatcher_that_never_received_the_rules_has_no_share() {
     let mut harness = harness_with(1, 9.0);
-    apply_rules(&mut harness, &Arc::new(Rules::none(1, (0, S))), 0);
+    apply_rules(&mut harness, &Arc::new(Rules::none(1, RetryAfterBounds { shortest: 0, longest: S })), 0);
     harness.submit(0);
     assert!(harness.workers_tried(0).is_empty() && harness.was_rejected(0));
 }
--- a/crates/dispatcher/tests/slow_start_fleet/main.rs
+++ b/crates/dispatcher/tests/slow_start_fleet/main.rs
@@ -2,7 +2,7 @@
 //!
 //! Real `Dispatcher`s, and stand-ins for the rest: workers with slots, a queue, a capacity that rises from
 //! `slow_start_initial_share` to all of it and a report that is the same for all for a second; clients whose
-//! requests come at random and who come again, at another dispatcher, after a refusal, a failure or the end
+//! requests come at random and who come again, at another dispatcher, after a rejection, a failure or the end
 //! of their dispatcher. A third of the workers is replaced by ones that have just started at one moment.
 //!
 //! A warming worker fails when, in a time `overload_s`, it gets more than `N + 2 * sqrt(N) + 2` calls; `N` is
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -50,8 +50,8 @@
 pub use error::EngineError;
 pub use input::{AttemptResult, Endpoint, Input, Job};
 pub use nickelflow_dispatcher::{
-    DegradedRules, ListKind, LoadReport, Nanos, Outcome, Rules, Settings, SettingsError, WorkerRestriction,
-    WorkerStatus,
+    DegradedRules, ListKind, LoadReport, Nanos, Outcome, RetryAfterBounds, Rules, Settings, SettingsError,
+    WorkerRestriction, WorkerStatus,
 };
 pub use output::{FinalAnswer, Output, StartAttempt};
 pub use worker_registry::KnownWorker;
