--- a/crates/cli/src/rules.rs
+++ b/crates/cli/src/rules.rs
@@ -4,7 +4,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use nickelflow_control_plane::{prepare, Command, PeerError, PeerRequest, PeerResponse, Peers, Status};
+use nickelflow_control_plane::{
+    prepare, Command, PeerError, PeerRequest, PeerResponse, Peers, Proposal, Status,
+};
 use nickelflow_rollout::RulesDocument;
 
 use crate::options::RulesDo;
@@ -49,10 +51,10 @@
         RulesDo::Show { proposal } => {
             let kept = history(&peers).await?;
             let found = match proposal {
-                Some(wanted) => kept.iter().find(|(number, _)| *number == wanted),
+                Some(wanted) => kept.iter().find(|proposal| proposal.number == wanted),
                 None => kept.last(),
             };
-            let (number, document) =
+            let Proposal { number, document } =
                 found.ok_or(Failed(status::REFUSED, "this proposal is not kept".to_owned()))?;
             format!("# proposal {number}\n{}", document.to_toml())
         }
@@ -72,7 +74,7 @@
         }
         RulesDo::History => {
             let kept = history(&peers).await?;
-            kept.iter().fold(String::new(), |mut all, (number, document)| {
+            kept.iter().fold(String::new(), |mut all, Proposal { number, document }| {
                 let (tenants, workers) = (document.quotas.len(), document.workers.len());
                 let _ = writeln!(
                     all,
@@ -134,7 +136,7 @@
     }
 }
 
-async fn history(peers: &Peers) -> Result<Vec<(u64, RulesDocument)>, Failed> {
+async fn history(peers: &Peers) -> Result<Vec<Proposal>, Failed> {
     match lead(peers, || PeerRequest::History).await? {
         PeerResponse::History(kept) => Ok(kept),
         _ => Err(odd()),
@@ -142,7 +144,7 @@
 }
 
 async fn newest(peers: &Peers) -> Result<u64, Failed> {
-    Ok(history(peers).await?.last().map_or(0, |(number, _)| *number))
+    Ok(history(peers).await?.last().map_or(0, |proposal| proposal.number))
 }
 
 /// How all voters stand, and by the one that leads all holders; fails if no voter can be reached.
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -99,8 +99,7 @@
     let config = Arc::new(config);
     let clock = Clock::start();
     let peers = Peers::new(config.fleet.clone(), config.voters.clone());
-    let lease_client =
-        LeaseClient::new(config.name.clone(), config.lease, clock, peers.clone(), config.local_lease);
+    let lease_client = LeaseClient::new(&config, clock, peers.clone());
     let max_overlap_ms = config.lease.max_overlap() / NANOS_PER_MS;
     info!(fleet = config.fleet, max_overlap_ms, "control plane started");
 
--- a/crates/control-plane/src/leader_service.rs
+++ b/crates/control-plane/src/leader_service.rs
@@ -12,8 +12,9 @@
 
 use crate::clock::{Clock, NANOS_PER_MS};
 use crate::command::{Command, CommandOutcome};
+use crate::messages::Proposal;
 use crate::peer_error::{PeerError, MAX_DOCUMENT_BYTES};
-use crate::raft::types::Raft;
+use crate::raft_types::Raft;
 use crate::read_index::{leading_term, write_error, LeadershipConfirmer, QUORUM_TIMEOUT};
 use crate::state_machine::StateMachine;
 use crate::status::{HolderStatus, LeaderStatus};
@@ -217,15 +218,17 @@
         status.flatten()
     }
 
-    /// Returns the cached proposals by number, the newest last.
+    /// Returns the cached proposals, the newest last.
     ///
     /// # Errors
     ///
     /// Fails if this voter does not lead, no quorum confirms it, or there are no rules.
-    pub async fn history(&self) -> Result<Vec<(u64, RulesDocument)>, PeerError> {
+    pub async fn history(&self) -> Result<Vec<Proposal>, PeerError> {
         self.confirmer.confirm().await?;
         let proposals = self.state_machine.with_rollout(|rollout| {
-            rollout.documents().map(|(number, document)| (number, document.clone())).collect()
+            let proposal =
+                |(number, document): (u64, &RulesDocument)| Proposal { number, document: document.clone() };
+            rollout.documents().map(proposal).collect()
         });
         proposals.ok_or(PeerError::NotBootstrapped)
     }
--- a/crates/control-plane/src/lease_client.rs
+++ b/crates/control-plane/src/lease_client.rs
@@ -11,6 +11,7 @@
 use crate::active_rules::ActiveRules;
 use crate::clock::{Clock, NANOS_PER_MS};
 use crate::command::Command;
+use crate::config::ControlPlaneConfig;
 use crate::leader_service::LeaderService;
 use crate::messages::{PeerRequest, PeerResponse};
 use crate::peer_error::PeerError;
@@ -54,23 +55,16 @@
 }
 
 impl LeaseClient {
-    /// Creates the client of the scheduler `name`, which has no lease yet. `local_lease` is by what it takes
-    /// its leases to last.
-    pub fn new(
-        name: String,
-        lease: LeaseConfig,
-        clock: Clock,
-        peers: Peers,
-        local_lease: LeaseConfig,
-    ) -> Arc<LeaseClient> {
+    /// Creates the client of this process, which has no lease yet.
+    pub fn new(config: &ControlPlaneConfig, clock: Clock, peers: Peers) -> Arc<LeaseClient> {
         let incarnation = fastrand::u64(..);
         Arc::new(LeaseClient {
-            name,
-            lease,
+            name: config.name.clone(),
+            lease: config.lease,
             clock,
             peers,
             local_voter: OnceLock::new(),
-            holder: Mutex::new(LeaseHolder::new(local_lease, incarnation)),
+            holder: Mutex::new(LeaseHolder::new(config.local_lease, incarnation)),
             active_rules: watch::channel(None).0,
             leader: Mutex::new(None),
         })
--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -14,7 +14,7 @@
 
 use crate::command::Command;
 use crate::peer_error::PeerError;
-use crate::raft::types::{InstallSnapshotRpcError, RaftRpcError, TypeConfig};
+use crate::raft_types::{InstallSnapshotRpcError, RaftRpcError, TypeConfig};
 use crate::status::Status;
 
 /// Bytes of a message, at most: some entries of the log, each with a document of 20,000 workers.
@@ -75,6 +75,15 @@
     }
 }
 
+/// A proposal of an operator.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Proposal {
+    /// Its number: one more than that of the proposal before it.
+    pub number: u64,
+    /// The proposed rules.
+    pub document: RulesDocument,
+}
+
 /// The answer to a [`PeerRequest`].
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerResponse {
@@ -88,8 +97,8 @@
     LeaseGranted(Box<LeaseGrant>),
     /// To a command that was applied: the number of the proposal or version that it has made, or 0.
     Applied(u64),
-    /// To [`PeerRequest::History`]: the proposals by number, the newest last.
-    History(Vec<(u64, RulesDocument)>),
+    /// To [`PeerRequest::History`]: the cached proposals, the newest last.
+    History(Vec<Proposal>),
     /// To [`PeerRequest::Status`].
     Status(Box<Status>),
     /// The request was not served.
--- a/crates/control-plane/src/raft/network.rs
+++ b/crates/control-plane/src/raft_network.rs
@@ -12,7 +12,7 @@
 
 use crate::messages::{PeerRequest, PeerResponse};
 use crate::peers::{Peers, TransportError};
-use crate::raft::types::TypeConfig;
+use crate::raft_types::TypeConfig;
 
 /// The pause after a voter could not be reached. It is short, for a mended link must not cost an election.
 const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(200);
--- a/crates/control-plane/src/read_index.rs
+++ b/crates/control-plane/src/read_index.rs
@@ -9,7 +9,7 @@
 
 use crate::command::Command;
 use crate::peer_error::PeerError;
-use crate::raft::types::Raft;
+use crate::raft_types::Raft;
 
 /// The longest wait for a quorum. Whoever asks waits longer than that.
 pub const QUORUM_TIMEOUT: Duration = Duration::from_secs(2);
@@ -18,6 +18,14 @@
 /// Requests that may wait for a confirmation: one of each scheduler of the largest fleet.
 const MAX_WAITING: usize = 4_096;
 
+/// Whether this process has committed a read barrier in its present term.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ReadBarrier {
+    Committed,
+    Missing,
+}
+
+/// The answer to one request.
 type Confirmation = Result<(), PeerError>;
 
 /// Confirms on request that this voter leads.
@@ -75,7 +83,8 @@
     let mut barrier_term = None;
     while waiting.recv_many(&mut batch, MAX_BATCH).await > 0 {
         let term = leading_term(id, &raft);
-        let asked = confirm_once(&raft, barrier_term != term);
+        let barrier = if barrier_term == term { ReadBarrier::Committed } else { ReadBarrier::Missing };
+        let asked = confirm_once(&raft, barrier);
         let confirmation = match tokio::time::timeout(QUORUM_TIMEOUT, asked).await {
             Ok(confirmation) => confirmation,
             Err(_) => Err(PeerError::NoQuorum("not confirmed in time".to_owned())),
@@ -95,8 +104,8 @@
 /// A leader that was killed and comes back within its term leads again at once. The library then takes for
 /// committed only what it knows to be, and would confirm an old state. Once an entry of this process is
 /// committed, so is all of its log.
-async fn confirm_once(raft: &Raft, needs_barrier: bool) -> Confirmation {
-    if needs_barrier {
+async fn confirm_once(raft: &Raft, barrier: ReadBarrier) -> Confirmation {
+    if barrier == ReadBarrier::Missing {
         raft.client_write(Command::ReadBarrier).await.map_err(write_error)?;
     }
     raft.ensure_linearizable().await.map_err(check_error)?;
--- a/crates/control-plane/src/state_machine.rs
+++ b/crates/control-plane/src/state_machine.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 
 use crate::command::{Command, CommandOutcome};
-use crate::raft::types::{Entry, LogId, Membership, RaftStorageError, SnapshotMeta, TypeConfig};
+use crate::raft_types::{Entry, LogId, Membership, RaftStorageError, SnapshotMeta, TypeConfig};
 use crate::store::{Store, StoreError};
 
 /// The snapshot id of a state to which no entry has been applied.
--- a/crates/control-plane/src/store/log_storage.rs
+++ b/crates/control-plane/src/store/log_storage.rs
@@ -7,7 +7,7 @@
 use openraft::{LogState, OptionalSend, RaftLogId, StorageIOError, Vote};
 use redb::ReadableTable;
 
-use crate::raft::types::{Entry, LogId, RaftStorageError, TypeConfig};
+use crate::raft_types::{Entry, LogId, RaftStorageError, TypeConfig};
 use crate::store::file::{put_value, LOG_TABLE, PURGED_KEY, VOTE_KEY};
 use crate::store::{Store, StoreError};
 
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -15,7 +15,7 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-use crate::raft::types::SnapshotMeta;
+use crate::raft_types::SnapshotMeta;
 
 pub use errors::{OpenError, PrepareError, StoreError};
 pub use file::prepare;
--- a/crates/control-plane/src/voter.rs
+++ b/crates/control-plane/src/voter.rs
@@ -19,7 +19,7 @@
 use crate::lease_client::LeaseClient;
 use crate::peer_error::PeerError;
 use crate::peers::Peers;
-use crate::raft::types::Raft;
+use crate::raft_types::Raft;
 use crate::state_machine::{LoadError, StateMachine};
 use crate::store::{OpenError, Store};
 
--- a/crates/control-plane/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -12,7 +12,7 @@
 
 use nickelflow_control_plane::{
     prepare, start, Command, ControlPlane, ControlPlaneConfig, PeerError, PeerRequest, PeerResponse, Peers,
-    Status, VoterConfig,
+    Proposal, Status, VoterConfig,
 };
 use nickelflow_rollout::{LeaseConfig, RulesDocument, Version};
 
@@ -170,7 +170,7 @@
         .await
     }
 
-    pub async fn history(&self) -> Vec<(u64, RulesDocument)> {
+    pub async fn history(&self) -> Vec<Proposal> {
         match self.ask_leader(&PeerRequest::History).await {
             PeerResponse::History(history) => history,
             other => panic!("{other:?}"),
@@ -179,7 +179,7 @@
 
     /// Proposes a document over the newest proposal.
     pub async fn propose(&self, document: RulesDocument) -> u64 {
-        let base = self.history().await.last().expect("rules").0;
+        let base = self.history().await.last().expect("rules").number;
         self.propose_over(base, document).await
     }
 
--- a/crates/control-plane/tests/message_bytes.rs
+++ b/crates/control-plane/tests/message_bytes.rs
@@ -10,7 +10,7 @@
 use std::fmt::Debug;
 
 use nickelflow_control_plane::{
-    Command, HolderStatus, LeaderStatus, PeerError, PeerRequest, PeerResponse, Status,
+    Command, HolderStatus, LeaderStatus, PeerError, PeerRequest, PeerResponse, Proposal, Status,
 };
 use nickelflow_rollout::{
     CommandError, LeaseGrant, LeaseRequest, RulesDocument, RulesStep, Version, WorkerState,
@@ -135,7 +135,7 @@
 }
 
 /// One entry of each kind, and one for each command.
-fn append() -> PeerRequest {
+fn append_entries() -> PeerRequest {
     let payloads = [EntryPayload::Blank, EntryPayload::Membership(membership())];
     let payloads = payloads.into_iter().chain(commands().into_iter().map(EntryPayload::Normal));
     let entry = |(index, payload)| Entry { log_id: log_id(index), payload };
@@ -167,10 +167,10 @@
     })
 }
 
-fn calls() -> Vec<PeerRequest> {
+fn requests() -> Vec<PeerRequest> {
     let request = LeaseRequest { incarnation: 1_000_001, sequence: 302, acknowledged: version(300) };
-    let mut calls = vec![
-        append(),
+    let mut requests = vec![
+        append_entries(),
         heartbeat(),
         PeerRequest::Vote(VoteRequest::new(Vote::new(6, 3), Some(log_id(400)))),
         snapshot_chunk(),
@@ -180,11 +180,11 @@
         PeerRequest::History,
         PeerRequest::Status,
     ];
-    calls.extend(commands().into_iter().map(PeerRequest::Command));
-    calls
+    requests.extend(commands().into_iter().map(PeerRequest::Command));
+    requests
 }
 
-fn refusals() -> Vec<PeerError> {
+fn peer_errors() -> Vec<PeerError> {
     vec![
         PeerError::NotLeader(Some(3)),
         PeerError::NotLeader(None),
@@ -210,7 +210,7 @@
     }
 }
 
-fn lead() -> LeaderStatus {
+fn leader_status() -> LeaderStatus {
     LeaderStatus {
         active: version(303),
         newest: 12,
@@ -234,11 +234,11 @@
         not_voting_reason: Some("the disk is full".to_owned()),
         voter: Some(2),
         leader: Some(3),
-        leader_status: Some(lead()),
+        leader_status: Some(leader_status()),
     }
 }
 
-fn status_of_no_voter() -> Status {
+fn status_of_non_voter() -> Status {
     Status {
         version: None,
         not_voting_reason: None,
@@ -249,12 +249,17 @@
     }
 }
 
-fn answers() -> Vec<PeerResponse> {
+fn proposals() -> Vec<Proposal> {
+    let proposal = |number, document| Proposal { number, document };
+    vec![proposal(11, document()), proposal(12, RulesDocument::default())]
+}
+
+fn responses() -> Vec<PeerResponse> {
     let step = RulesStep::from_document(&document());
     let grant = LeaseGrant { incarnation: 1_000_001, sequence: 302, version: version(300), step: Some(step) };
     let (expect, got) = (SnapshotSegmentId::from(("a", 1)), SnapshotSegmentId::from(("b", 2)));
     let mismatch = InstallSnapshotError::SnapshotMismatch(SnapshotMismatch { expect, got });
-    let mut answers = vec![
+    let mut responses = vec![
         PeerResponse::AppendEntries(Ok(AppendEntriesResponse::Success)),
         PeerResponse::AppendEntries(Ok(AppendEntriesResponse::PartialSuccess(Some(log_id(400))))),
         PeerResponse::AppendEntries(Ok(AppendEntriesResponse::Conflict)),
@@ -266,23 +271,23 @@
         PeerResponse::InstallSnapshot(Err(RaftError::APIError(mismatch))),
         PeerResponse::LeaseGranted(Box::new(grant)),
         PeerResponse::Applied(12),
-        PeerResponse::History(vec![(11, document()), (12, RulesDocument::default())]),
+        PeerResponse::History(proposals()),
         PeerResponse::Status(Box::new(status())),
-        PeerResponse::Status(Box::new(status_of_no_voter())),
+        PeerResponse::Status(Box::new(status_of_non_voter())),
     ];
-    answers.extend(refusals().into_iter().map(PeerResponse::Error));
-    answers
+    responses.extend(peer_errors().into_iter().map(PeerResponse::Error));
+    responses
 }
 
 #[test]
-fn every_message_keeps_its_bytes() {
+fn every_message_keeps_its_recorded_bytes() {
     let mut checker = Checker::default();
     checker.check_all("command", &commands());
-    checker.check_all("call", &calls());
-    checker.check_all("refusal", &refusals());
+    checker.check_all("call", &requests());
+    checker.check_all("refusal", &peer_errors());
     checker.check("holder-status", &holder_status());
-    checker.check("lead", &lead());
+    checker.check("lead", &leader_status());
     checker.check("status", &status());
-    checker.check_all("answer", &answers());
+    checker.check_all("answer", &responses());
     checker.finish();
 }
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -15,7 +15,7 @@
 
 use common::{acts_on_milk_quota, document, milk_quota, until, Fleet, VOTERS};
 use flate2::read::GzDecoder;
-use nickelflow_control_plane::LeaderStatus;
+use nickelflow_control_plane::{LeaderStatus, Proposal};
 use nickelflow_rollout::{RolloutState, RulesDocument, Version};
 use openraft::{EmptyNode, LogId, SnapshotMeta, StoredMembership};
 use redb::{ReadableTable, ReadableTableMetadata, TableDefinition};
@@ -105,7 +105,8 @@
 /// Starts a fleet on recorded folders, compares its rules with those recorded, and changes them once more.
 async fn assert_resumes_from(recording: &Recording) {
     let fleet = start_recorded(recording);
-    let mut recorded = vec![(1, bootstrap_document()), (2, proposed_document())];
+    let proposal = |number, document| Proposal { number, document };
+    let mut recorded = vec![proposal(1, bootstrap_document()), proposal(2, proposed_document())];
     assert_eq!(fleet.history().await, recorded);
     all_act_on_milk_quota(&fleet, 50.0).await;
     let leader = settled_leader(&fleet).await;
@@ -116,7 +117,7 @@
     }
     assert_eq!(fleet.propose_over(2, milk_quota(33)).await, 3);
     all_act_on_milk_quota(&fleet, 33.0).await;
-    recorded.push((3, milk_quota(33)));
+    recorded.push(proposal(3, milk_quota(33)));
     assert_eq!(fleet.history().await, recorded);
 }
 
--- a/crates/daemon/tests/text_format.rs
+++ b/crates/daemon/tests/text_format.rs
@@ -31,9 +31,9 @@
     assert_eq!(config.names.tenants, ["emmental", "seeland"]);
     assert_eq!(config.entry_names.zones, ["langnau", "thun"]);
     assert_eq!(config.entry_names.kinds, ["w5", "w7"]);
-    assert_eq!(config.links.connect, Duration::from_millis(200));
-    assert_eq!(config.links.idle, Duration::from_secs(9));
-    assert_eq!(config.links.grace, Duration::from_millis(700));
+    assert_eq!(config.worker_connections.connect, Duration::from_millis(200));
+    assert_eq!(config.worker_connections.idle, Duration::from_secs(9));
+    assert_eq!(config.worker_connections.grace, Duration::from_millis(700));
 }
 
 #[test]
