--- /dev/null
+++ b/crates/cli/src/document_file.rs
@@ -0,0 +1,18 @@
+//! Files with rules documents.
+
+use std::path::Path;
+
+use nickelflow_rollout::RulesDocument;
+
+use crate::error::CliError;
+
+/// Reads a rules document from a file.
+///
+/// # Errors
+///
+/// [`CliError::UnreadableFile`], or [`CliError::InvalidDocument`] with all errors in the document.
+pub fn load_document(file: &Path) -> Result<RulesDocument, CliError> {
+    let text = std::fs::read_to_string(file)
+        .map_err(|source| CliError::UnreadableFile { file: file.to_owned(), source })?;
+    RulesDocument::parse(&text).map_err(|source| CliError::InvalidDocument { file: file.to_owned(), source })
+}
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -1,121 +1,232 @@
 //! The scheduler's own settings; `deploy/nickelflow.toml` is the commented example.
 
 use std::collections::BTreeMap;
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use nickelflow_rollout::LeaseConfig;
+use nickelflow_rollout::{LeaseConfig, Nanos};
 use serde::Deserialize;
+use thiserror::Error;
 
-use crate::{status, Failed};
+const NANOS_PER_MS: Nanos = 1_000_000;
+/// More voters than this only make each decision slower.
+const MAX_VOTERS: usize = 9;
+/// A sanity limit: no rollout should wait longer than ten minutes for a lease.
+const MAX_LEASE_MS: u64 = 600_000;
+/// The fleet's name travels in the header of each message.
+const MAX_FLEET_BYTES: usize = 64;
+const DEFAULT_LEASE_MS: u64 = 2_000;
+const DEFAULT_RENEWAL_MS: u64 = 500;
+const DEFAULT_MAX_CLOCK_DRIFT: f64 = 0.01;
 
+/// An invalid value in the `rules` table. The text begins with the key.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum SettingsError {
+    /// The fleet's name is empty, too long or not printable.
+    #[error("fleet: must be 1 to {MAX_FLEET_BYTES} printable ASCII characters without blanks")]
+    InvalidFleet,
+    /// The lease is too long.
+    #[error("lease_ms: must be at most {MAX_LEASE_MS}")]
+    LeaseTooLong,
+    /// The lease, its renewal and the clock drift do not fit together.
+    #[error("renewal_ms: must be above 0 and below lease_ms, and drift from 0 to 0.1")]
+    InvalidLease,
+    /// There are no voters or too many.
+    #[error("voters: must be 1 to {MAX_VOTERS}, better 3 or 5")]
+    VoterCount,
+    /// The scheduler's own number is not among the voters.
+    #[error("voter: {0} is not among the voters")]
+    UnknownVoter(u64),
+    /// Only one of the voter's number and its folder is given.
+    #[error("voter: goes with data, and neither without the other")]
+    IncompleteVoter,
+    /// The key of a voter is not a number.
+    #[error("voters.{id}: must be a number")]
+    InvalidVoterId {
+        /// The key.
+        id: String,
+    },
+    /// The address of a voter is not of the form `host:port`.
+    #[error("voters.{id}: must be host:port, and is {address}")]
+    InvalidVoterAddress {
+        /// The voter's key.
+        id: String,
+        /// The address.
+        address: String,
+    },
+}
+
+/// The reason why a settings file cannot be used.
+#[derive(Debug, Error)]
+pub enum LoadSettingsError {
+    /// The file cannot be read.
+    #[error("{}: cannot be read: {source}", file.display())]
+    Unreadable {
+        /// The file.
+        file: PathBuf,
+        /// The error of the file system.
+        source: io::Error,
+    },
+    /// The file is not TOML of the expected keys and types.
+    #[error("{}: {source}", file.display())]
+    Malformed {
+        /// The file.
+        file: PathBuf,
+        /// The error of the decoder.
+        source: Box<toml::de::Error>,
+    },
+    /// A value is invalid.
+    #[error("{}: rules.{source}", file.display())]
+    Invalid {
+        /// The file.
+        file: PathBuf,
+        /// The invalid value.
+        source: SettingsError,
+    },
+}
+
+/// The content of a settings file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
+    /// How the scheduler shares rules with others; it shares none if this is missing.
     pub rules: Option<RulesSettings>,
 }
 
-/// How the schedulers of a fleet agree on rules.
+/// How the schedulers of a fleet share rules.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RulesSettings {
+    /// The name of the fleet; messages of other fleets are rejected.
     pub fleet: String,
-    /// Its name, where it is not the one that RELAY_NAME or RELAY_CONFIG gives.
+    /// The scheduler's name, if it is not the one that RELAY_NAME or RELAY_CONFIG gives.
     pub name: Option<String>,
-    /// Where others reach it.
+    /// The address on which the scheduler listens for others.
     pub listen: SocketAddr,
-    /// A voter's number and folder.
-    pub voter: Option<u64>,
-    pub data: Option<PathBuf>,
-    #[serde(default = "lease")]
+    /// The scheduler's number if it is a voter; given together with `data_dir`.
+    #[serde(rename = "voter")]
+    pub voter_id: Option<u64>,
+    /// The folder of the voter's log.
+    #[serde(rename = "data")]
+    pub data_dir: Option<PathBuf>,
+    /// The duration of a lease, in milliseconds.
+    #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    #[serde(default = "renewal")]
+    /// The time between two renewals of a lease, in milliseconds.
+    #[serde(default = "default_renewal_ms")]
     pub renewal_ms: u64,
-    #[serde(default = "drift")]
-    pub drift: f64,
-    /// For drills only: for how long this scheduler takes a lease to hold, against the rules, so that a drill can be seen
-    /// to find what comes of it.
-    pub drill_honour_ms: Option<u64>,
-    /// All voters by number, where this scheduler reaches them.
+    /// The largest fraction by which a clock may run faster or slower than true time.
+    #[serde(rename = "drift", default = "default_max_clock_drift")]
+    pub max_clock_drift: f64,
+    /// For fault injection only: the time in milliseconds for which this scheduler takes a lease to be valid, in violation
+    /// of the protocol, so that a test can show that it finds the consequences.
+    #[serde(rename = "drill_honour_ms")]
+    pub injected_lease_ms: Option<u64>,
+    /// The addresses of all voters by number, as this scheduler reaches them.
     pub voters: BTreeMap<String, String>,
 }
 
-fn lease() -> u64 {
-    2_000
+fn default_lease_ms() -> u64 {
+    DEFAULT_LEASE_MS
 }
 
-fn renewal() -> u64 {
-    500
+fn default_renewal_ms() -> u64 {
+    DEFAULT_RENEWAL_MS
 }
 
-fn drift() -> f64 {
-    0.01
+fn default_max_clock_drift() -> f64 {
+    DEFAULT_MAX_CLOCK_DRIFT
 }
 
-const MOST_VOTERS: usize = 9;
-const LONGEST_MS: u64 = 600_000;
-
 impl Settings {
-    pub fn load(file: &Path) -> Result<Settings, Failed> {
-        let name = file.display();
+    /// Reads and validates a settings file.
+    ///
+    /// # Errors
+    ///
+    /// [`LoadSettingsError`] with the file and what is wrong with it.
+    pub fn load(file: &Path) -> Result<Settings, LoadSettingsError> {
         let text = std::fs::read_to_string(file)
-            .map_err(|e| Failed(status::USAGE, format!("{name}: cannot be read: {e}")))?;
-        let settings: Settings =
-            toml::from_str(&text).map_err(|e| Failed(status::USAGE, format!("{name}: {e}")))?;
+            .map_err(|source| LoadSettingsError::Unreadable { file: file.to_owned(), source })?;
+        let settings: Settings = toml::from_str(&text)
+            .map_err(|e| LoadSettingsError::Malformed { file: file.to_owned(), source: Box::new(e) })?;
         if let Some(rules) = &settings.rules {
-            rules.check().map_err(|why| Failed(status::USAGE, format!("{name}: rules.{why}")))?;
+            rules
+                .validate()
+                .map_err(|source| LoadSettingsError::Invalid { file: file.to_owned(), source })?;
         }
         Ok(settings)
     }
 }
 
 impl RulesSettings {
-    fn check(&self) -> Result<(), String> {
-        if self.fleet.is_empty() || self.fleet.len() > 64 || !self.fleet.bytes().all(|b| b.is_ascii_graphic())
-        {
-            return Err("fleet: must be 1 to 64 printable ASCII characters without blanks".to_owned());
+    /// Checks all values.
+    fn validate(&self) -> Result<(), SettingsError> {
+        let is_printable = self.fleet.bytes().all(|byte| byte.is_ascii_graphic());
+        if self.fleet.is_empty() || self.fleet.len() > MAX_FLEET_BYTES || !is_printable {
+            return Err(SettingsError::InvalidFleet);
         }
-        if self.lease_ms > LONGEST_MS {
-            return Err(format!("lease_ms: must be at most {LONGEST_MS}"));
+        if self.lease_ms > MAX_LEASE_MS {
+            return Err(SettingsError::LeaseTooLong);
         }
-        self.terms()?;
+        self.lease_config()?;
         let voters = self.voters()?;
-        if voters.is_empty() || voters.len() > MOST_VOTERS {
-            return Err(format!("voters: must be 1 to {MOST_VOTERS}, better 3 or 5"));
+        if voters.is_empty() || voters.len() > MAX_VOTERS {
+            return Err(SettingsError::VoterCount);
         }
-        match (self.voter, &self.data) {
-            (Some(voter), Some(_)) if voters.contains_key(&voter) => Ok(()),
-            (Some(voter), Some(_)) => Err(format!("voter: {voter} is not among the voters")),
+        match (self.voter_id, &self.data_dir) {
+            (Some(id), Some(_)) if voters.contains_key(&id) => Ok(()),
+            (Some(id), Some(_)) => Err(SettingsError::UnknownVoter(id)),
             (None, None) => Ok(()),
-            _ => Err("voter: goes with data, and neither without the other".to_owned()),
+            _ => Err(SettingsError::IncompleteVoter),
         }
     }
 
-    pub fn terms(&self) -> Result<LeaseConfig, String> {
-        let terms = LeaseConfig::new(
-            self.lease_ms * 1_000_000,
-            self.renewal_ms.min(LONGEST_MS) * 1_000_000,
-            self.drift,
-        );
-        terms.ok_or_else(|| {
-            "renewal_ms: must be above 0 and below lease_ms, and drift from 0 to 0.1".to_owned()
-        })
+    /// The timing of leases, which must be the same at all schedulers.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::InvalidLease`] if the values do not fit together.
+    pub fn lease_config(&self) -> Result<LeaseConfig, SettingsError> {
+        let duration = self.lease_ms * NANOS_PER_MS;
+        let renewal_interval = self.renewal_ms.min(MAX_LEASE_MS) * NANOS_PER_MS;
+        LeaseConfig::new(duration, renewal_interval, self.max_clock_drift).ok_or(SettingsError::InvalidLease)
     }
 
-    pub fn honoured(&self) -> Result<LeaseConfig, String> {
-        let terms = self.terms()?;
-        let longer = self.drill_honour_ms.map(|ms| ms.min(LONGEST_MS) * 1_000_000);
-        Ok(LeaseConfig { duration: longer.unwrap_or(terms.duration), ..terms })
+    /// The timing of leases that this scheduler applies to its own: the same as [`RulesSettings::lease_config`] unless a
+    /// fault is injected.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`RulesSettings::lease_config`].
+    pub fn local_lease_config(&self) -> Result<LeaseConfig, SettingsError> {
+        let config = self.lease_config()?;
+        let injected = self.injected_lease_ms.map(|ms| ms.min(MAX_LEASE_MS) * NANOS_PER_MS);
+        Ok(LeaseConfig { duration: injected.unwrap_or(config.duration), ..config })
     }
 
-    pub fn voters(&self) -> Result<BTreeMap<u64, String>, String> {
-        let voter = |(id, address): (&String, &String)| match (id.parse::<u64>(), address.rsplit_once(':')) {
-            (Ok(id), Some((host, port))) if !host.is_empty() && port.parse::<u16>().is_ok() => {
-                Ok((id, address.clone()))
-            }
-            (Err(_), _) => Err(format!("voters.{id}: must be a number")),
-            _ => Err(format!("voters.{id}: must be host:port, and is {address}")),
-        };
-        self.voters.iter().map(voter).collect()
+    /// The addresses of all voters by number.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::InvalidVoterId`] or [`SettingsError::InvalidVoterAddress`] for the first invalid entry.
+    pub fn voters(&self) -> Result<BTreeMap<u64, String>, SettingsError> {
+        let entries = self.voters.iter();
+        entries.map(|(id, address)| Ok((parse_voter_id(id)?, checked_address(id, address)?))).collect()
+    }
+}
+
+/// Parses the key of a voter.
+fn parse_voter_id(id: &str) -> Result<u64, SettingsError> {
+    id.parse().map_err(|_| SettingsError::InvalidVoterId { id: id.to_owned() })
+}
+
+/// Returns the address of a voter if it is of the form `host:port`.
+fn checked_address(id: &str, address: &str) -> Result<String, SettingsError> {
+    let is_valid =
+        address.rsplit_once(':').is_some_and(|(host, port)| !host.is_empty() && port.parse::<u16>().is_ok());
+    if !is_valid {
+        return Err(SettingsError::InvalidVoterAddress { id: id.to_owned(), address: address.to_owned() });
     }
+    Ok(address.to_owned())
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -6,7 +6,10 @@
 use std::time::Duration;
 
 use clap::Parser;
-use nickelflow_cli::{check, rules, status, Do, Failed, LogFormat, Options, RulesSettings, Settings};
+use nickelflow_cli::{
+    exit_status, load_document, run_rules_command, Arguments, CliCommand, CliError, LogFormat, RulesSettings,
+    Settings,
+};
 use nickelflow_control_plane::ControlPlane;
 use nickelflow_daemon::config::{self, Config};
 use nickelflow_daemon::counters::SharedCounters;
@@ -17,14 +20,14 @@
 
 /// Begins to agree with others on rules, under a name.
 async fn agree(settings: &RulesSettings, name: &str) -> Result<ControlPlane, String> {
-    let voting = settings.voter.zip(settings.data.clone());
+    let voting = settings.voter_id.zip(settings.data_dir.clone());
     let council = nickelflow_control_plane::ControlPlaneConfig {
         fleet: settings.fleet.clone(),
         name: settings.name.clone().unwrap_or_else(|| name.to_owned()),
-        voters: settings.voters()?,
+        voters: settings.voters().map_err(|e| e.to_string())?,
         voter: voting.map(|(id, data)| nickelflow_control_plane::VoterConfig { id, data_dir: data }),
-        lease: settings.terms()?,
-        local_lease: settings.honoured()?,
+        lease: settings.lease_config().map_err(|e| e.to_string())?,
+        local_lease: settings.local_lease_config().map_err(|e| e.to_string())?,
         build: env!("CARGO_PKG_VERSION").to_owned(),
     };
     nickelflow_daemon::rules_conversion::begin(council, settings.listen).await
@@ -70,7 +73,20 @@
     served
 }
 
-fn run(settings: Option<Settings>, format: LogFormat) -> Result<(), Failed> {
+/// The reason why the program ends with a status other than 0.
+struct Failure {
+    exit_status: u8,
+    /// Printed unless it is empty, because it has been logged.
+    message: String,
+}
+
+impl From<CliError> for Failure {
+    fn from(error: CliError) -> Failure {
+        Failure { exit_status: error.exit_status(), message: error.to_string() }
+    }
+}
+
+fn run(settings: Option<Settings>, format: LogFormat) -> Result<(), Failure> {
     let filter = EnvFilter::try_from_env("NICKELFLOW_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
     let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false);
     match format {
@@ -84,38 +100,41 @@
     };
     served.map_err(|why| {
         error!("{why}");
-        Failed(status::FAILED, String::new())
+        Failure { exit_status: exit_status::FAILED, message: String::new() }
     })
 }
 
-fn act(options: Options) -> Result<(), Failed> {
-    let settings = options.config.as_deref().map(Settings::load).transpose()?;
-    match options.to_do {
-        None | Some(Do::Run) => run(settings, options.log_format),
-        Some(Do::Check { file }) => {
-            let document = check(&file)?;
+fn act(arguments: Arguments) -> Result<(), Failure> {
+    let settings = arguments.config.as_deref().map(Settings::load).transpose().map_err(CliError::from)?;
+    match arguments.command {
+        None | Some(CliCommand::Run) => run(settings, arguments.log_format),
+        Some(CliCommand::Check { file }) => {
+            let document = load_document(&file)?;
             println!("{}: sound, {} workers set apart", file.display(), document.workers.len());
             Ok(())
         }
-        Some(Do::Rules(to_do)) => {
-            let wanted = || Failed(status::USAGE, "--config: a file with [rules] is needed".to_owned());
-            let settings = settings.and_then(|settings| settings.rules).ok_or_else(wanted)?;
+        Some(CliCommand::Rules(command)) => {
+            let settings =
+                settings.and_then(|settings| settings.rules).ok_or(CliError::MissingRulesSettings)?;
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            let runtime = runtime.map_err(|e| Failed(status::FAILED, format!("runtime: {e}")))?;
-            print!("{}", runtime.block_on(rules(&settings, to_do))?);
+            let runtime = runtime.map_err(|e| Failure {
+                exit_status: exit_status::FAILED,
+                message: format!("runtime: {e}"),
+            })?;
+            print!("{}", runtime.block_on(run_rules_command(&settings, command))?);
             Ok(())
         }
     }
 }
 
 fn main() -> ExitCode {
-    match act(Options::parse()) {
+    match act(Arguments::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failed(status, why)) => {
-            if !why.is_empty() {
-                eprintln!("{why}");
+        Err(failure) => {
+            if !failure.message.is_empty() {
+                eprintln!("{}", failure.message);
             }
-            ExitCode::from(status)
+            ExitCode::from(failure.exit_status)
         }
     }
 }
