--- a/crates/dispatcher/src/dispatcher/admission.rs
+++ b/crates/dispatcher/src/dispatcher/admission.rs
@@ -123,7 +123,7 @@
         } else {
             (class.latency_stretch - RUN_STRETCH).max(0.0)
         };
-        let max_hold = class.latency_objective as f64 + hold_factor * stats.mean_run();
+        let max_hold = class.latency_objective as f64 + hold_factor * stats.mean_run_ns();
         (self.now + max_hold as Nanos).saturating_sub(elapsed)
     }
 
--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -4,7 +4,7 @@
 use super::Dispatcher;
 use crate::action::Action;
 use crate::event::Outcome;
-use crate::health_signals::{HealthSignals, SignalSource};
+use crate::health_signals::{HealthSignals, SignalOrder, SignalSource};
 use crate::ids::{AttemptId, RequestId, WorkerId};
 use crate::job::{Attempt, AttemptOutcome};
 use crate::service_rate::ServiceSample;
@@ -105,12 +105,12 @@
         let Some(job) = self.jobs.get_mut(&id.request) else { return };
         let attempt = job.attempts.get_mut(id.number as usize);
         let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight) else { return };
-        let is_first = attempt.first_signal_at.is_none();
+        let order = SignalOrder::after(attempt.first_signal_at);
         attempt.first_signal_at.get_or_insert(self.now);
         if let Some(worker) = self.workers.get_mut(attempt.worker) {
-            note_signal(worker, is_first, SignalSource::Worker, self.now);
+            worker.health.attempt_signal(self.now, order, SignalSource::Worker);
         }
-        if is_first && self.settings.notifies_job_start {
+        if order == SignalOrder::First && self.settings.notifies_job_start {
             self.count_at_worker(id);
         }
     }
@@ -200,7 +200,7 @@
             return;
         }
         worker.load.job_ended(now, ended.slots, ended.memory);
-        let is_first_signal = ended.first_signal_at.is_none();
+        let order = SignalOrder::after(ended.first_signal_at);
         let worker_is_silent = worker.health.is_silent(now, max_silence);
         match outcome.outcome {
             Outcome::Ok => worker.record_success(),
@@ -211,7 +211,7 @@
                 worker.record_failure(FailureWeight::Minor);
             }
             // Cancelled for its silence: the worker may hang, and must not look idle for it.
-            Outcome::Cancelled if is_first_signal && worker_is_silent => {
+            Outcome::Cancelled if order == SignalOrder::First && worker_is_silent => {
                 worker.record_failure(FailureWeight::Full);
             }
             Outcome::InvalidJob | Outcome::Cancelled | Outcome::NotSent => {}
@@ -220,7 +220,7 @@
             Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => SignalSource::Local,
             _ => SignalSource::Worker,
         };
-        note_signal(worker, is_first_signal, source, now);
+        worker.health.attempt_signal(now, order, source);
         if let Some(report) = outcome.report.filter(|_| !worker.is_ejected()) {
             worker.apply_report(now, &report, share);
         }
@@ -260,7 +260,7 @@
 
     /// Returns how long (ns) a worker with work may go without a sign of life.
     fn max_silence(&self) -> Nanos {
-        let longest_run = self.classes.iter().map(|class| class.mean_run()).fold(0.0, f64::max);
+        let longest_run = self.classes.iter().map(|class| class.mean_run_ns()).fold(0.0, f64::max);
         HealthSignals::max_silence(&self.settings, longest_run)
     }
 
@@ -270,11 +270,3 @@
         worker.health.is_silent(self.now, self.max_silence())
     }
 }
-
-fn note_signal(worker: &mut Worker, is_first: bool, source: SignalSource, now: Nanos) {
-    if is_first {
-        worker.health.first_signal(now, source);
-    } else {
-        worker.health.repeated_signal(now, source);
-    }
-}
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -214,8 +214,8 @@
     fn workers_filled_by(&self, key: Option<u64>, class: u32) -> f64 {
         let share = key.map_or(0.0, |key| self.key_frequency.share(key, RARE_KEY_WEIGHT));
         let jobs_per_s = share * self.arrival_rate.per_s() * f64::from(self.settings.dispatchers);
-        let mean_run = self.classes[class as usize].mean_run();
-        jobs_per_s * mean_run / NANOS_PER_SECOND / DEFAULT_SLOTS / TYPICAL_UTILIZATION
+        let mean_run_ns = self.classes[class as usize].mean_run_ns();
+        jobs_per_s * mean_run_ns / NANOS_PER_SECOND / DEFAULT_SLOTS / TYPICAL_UTILIZATION
     }
 
     fn rank_candidates(&self, key: u64, cell: Option<u32>, tenant: Option<u32>) -> Vec<usize> {
--- a/crates/dispatcher/src/health_signals.rs
+++ b/crates/dispatcher/src/health_signals.rs
@@ -18,6 +18,25 @@
     Local,
 }
 
+/// Whether news of an attempt is the first.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(crate) enum SignalOrder {
+    /// It is the first, or the attempt ended without any.
+    First,
+    /// There was news of the attempt before.
+    Repeated,
+}
+
+impl SignalOrder {
+    /// Returns the order of a signal by when the first one came.
+    pub(crate) fn after(first_signal_at: Option<Nanos>) -> Self {
+        match first_signal_at {
+            None => SignalOrder::First,
+            Some(_) => SignalOrder::Repeated,
+        }
+    }
+}
+
 /// Counts the attempts of which a worker has not given a sign yet, and since when it has been silent.
 #[derive(Default)]
 pub(crate) struct HealthSignals {
@@ -34,8 +53,11 @@
         self.unconfirmed += 1;
     }
 
-    /// Notes news of an attempt that has been confirmed before.
-    pub(crate) fn repeated_signal(&mut self, now: Nanos, source: SignalSource) {
+    /// Notes news of an attempt.
+    pub(crate) fn attempt_signal(&mut self, now: Nanos, order: SignalOrder, source: SignalSource) {
+        if order == SignalOrder::First {
+            self.unconfirmed = self.unconfirmed.saturating_sub(1);
+        }
         if self.unconfirmed == 0 {
             self.silent_since = None;
         } else if source == SignalSource::Worker {
@@ -43,12 +65,6 @@
         }
     }
 
-    /// Notes the first news of an attempt, or that it ended without any.
-    pub(crate) fn first_signal(&mut self, now: Nanos, source: SignalSource) {
-        self.unconfirmed = self.unconfirmed.saturating_sub(1);
-        self.repeated_signal(now, source);
-    }
-
     /// Returns how long (ns) a worker with unconfirmed attempts may be silent, where the mean run of the
     /// slowest class takes `longest_run` (ns).
     pub(crate) fn max_silence(settings: &Settings, longest_run: f64) -> Nanos {
--- a/crates/dispatcher/src/service_rate.rs
+++ b/crates/dispatcher/src/service_rate.rs
@@ -36,7 +36,7 @@
 /// begins with a job that took all the time that a client waits, for no usual job can take longer.
 pub struct MeanServiceTime {
     /// Time (s) of jobs that are no longer at their worker.
-    total: f64,
+    total_s: f64,
     /// Jobs that have completed.
     completed: f64,
     /// Jobs at a worker now.
@@ -48,8 +48,8 @@
 impl MeanServiceTime {
     /// Creates the estimate for jobs whose clients wait for `deadline` (ns).
     pub fn new(deadline: Nanos) -> Self {
-        let total = PRIOR_WEIGHT * deadline as f64 / NANOS_PER_SECOND;
-        MeanServiceTime { total, completed: PRIOR_WEIGHT, running: 0, running_since: 0 }
+        let total_s = PRIOR_WEIGHT * deadline as f64 / NANOS_PER_SECOND;
+        MeanServiceTime { total_s, completed: PRIOR_WEIGHT, running: 0, running_since: 0 }
     }
 
     /// Notes that a job has come to a worker.
@@ -64,17 +64,17 @@
         self.running_since = self.running_since.saturating_sub(u128::from(began));
         let ServiceSample::Ran { completed, capacity_share } = sample else { return };
         if completed {
-            self.total *= DECAY;
+            self.total_s *= DECAY;
             self.completed = self.completed * DECAY + 1.0;
         }
-        self.total += now.saturating_sub(began) as f64 / NANOS_PER_SECOND * capacity_share;
+        self.total_s += now.saturating_sub(began) as f64 / NANOS_PER_SECOND * capacity_share;
     }
 
     /// Returns the mean (s) as far as known.
-    pub fn mean(&self, now: Nanos) -> f64 {
+    pub fn mean_s(&self, now: Nanos) -> f64 {
         let running = u128::from(self.running) * u128::from(now);
         let running = running.saturating_sub(self.running_since) as f64 / NANOS_PER_SECOND;
-        ((self.total + running) / self.completed).max(MIN_MEAN_S)
+        ((self.total_s + running) / self.completed).max(MIN_MEAN_S)
     }
 }
 
@@ -199,9 +199,9 @@
 
     /// Returns the time (s) of a class's jobs at a warm worker of a kind: the longer of the class's and the
     /// kind's, for short jobs do not make up for the long ones beside them.
-    pub fn job_time(&self, kind: u32, class: u32, now: Nanos) -> f64 {
-        let of_class = self.classes[class as usize].mean(now);
-        self.kinds.get(&kind).map_or(of_class, |kind| kind.service_time.mean(now).max(of_class))
+    pub fn job_time_s(&self, kind: u32, class: u32, now: Nanos) -> f64 {
+        let of_class = self.classes[class as usize].mean_s(now);
+        self.kinds.get(&kind).map_or(of_class, |kind| kind.service_time.mean_s(now).max(of_class))
     }
 
     /// Returns the jobs of a class that a warm worker of a kind is known to complete in a second. It has at
@@ -209,6 +209,6 @@
     pub fn jobs_per_s(&self, kind: u32, class: u32, now: Nanos) -> f64 {
         let concurrent = |kind: &KindStats| (kind.jobs_found / kind.arrivals).max(1.0);
         let jobs = self.kinds.get(&kind).map_or(1.0, concurrent);
-        jobs / self.job_time(kind, class, now)
+        jobs / self.job_time_s(kind, class, now)
     }
 }
--- a/crates/dispatcher/src/slow_start.rs
+++ b/crates/dispatcher/src/slow_start.rs
@@ -90,7 +90,7 @@
     /// Jobs a second, now.
     pub jobs_per_s: f64,
     /// Work (s) of such a job.
-    job_work: f64,
+    job_work_s: f64,
     /// Work (s) that has come into the worker's bucket in a second on average since it was last used.
     refill: f64,
     window: Nanos,
@@ -113,10 +113,10 @@
             let weight = limits.slow_start_weight(entry.started, now, ago)?;
             Some(send_rate(settings, weight * warm_jobs_per_s, pacing).max(MIN_RATE_PER_S))
         };
-        let job_work = rates.job_time(entry.kind, class, now);
-        let refill = job_work * rate_ago(now.saturating_sub(bucket.updated_at) / 2)?;
+        let job_work_s = rates.job_time_s(entry.kind, class, now);
+        let refill = job_work_s * rate_ago(now.saturating_sub(bucket.updated_at) / 2)?;
         let jobs_per_s = rate_ago(0)?;
-        Some(SlowStartLimit { pacing, jobs_per_s, job_work, refill, window: limits.overload_duration })
+        Some(SlowStartLimit { pacing, jobs_per_s, job_work_s, refill, window: limits.overload_duration })
     }
 }
 
@@ -140,13 +140,13 @@
 
     /// Returns whether the bucket holds enough for a job of so many slots.
     pub fn covers(&self, limit: &SlowStartLimit, slots: f64, now: Nanos) -> bool {
-        let job = slots * limit.job_work;
+        let job = slots * limit.job_work_s;
         self.level_at(now, limit.refill, limit.window, job) >= job
     }
 
     /// Takes a job of so many slots out, and returns when there may be enough for another.
     pub fn take(&mut self, limit: &SlowStartLimit, slots: f64, now: Nanos) -> Nanos {
-        let job = slots * limit.job_work;
+        let job = slots * limit.job_work_s;
         let level = self.level_at(now, limit.refill, limit.window, job) - job;
         *self = TokenBucket { level, jitter: 0.0, updated_at: now };
         now + (job / limit.refill * NANOS_PER_SECOND) as Nanos
--- a/crates/dispatcher/src/timers.rs
+++ b/crates/dispatcher/src/timers.rs
@@ -4,6 +4,7 @@
 use std::collections::BinaryHeap;
 
 use crate::ids::{AttemptId, RequestId};
+use crate::time::Nanos;
 
 /// What a timer stands for. Timers of the same time fire in the order of the variants.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -26,27 +27,27 @@
 
 /// Timers, earliest first, with the one wake-up that has been requested for them.
 pub struct TimerQueue<T> {
-    timers: BinaryHeap<Reverse<(u64, T)>>,
-    /// When the requested wake-up comes; `u64::MAX` if none has been requested.
-    requested_wake: u64,
+    timers: BinaryHeap<Reverse<(Nanos, T)>>,
+    /// When the requested wake-up comes; `Nanos::MAX` if none has been requested.
+    requested_wake: Nanos,
 }
 
 impl<T: Ord> Default for TimerQueue<T> {
     fn default() -> Self {
-        TimerQueue { timers: BinaryHeap::new(), requested_wake: u64::MAX }
+        TimerQueue { timers: BinaryHeap::new(), requested_wake: Nanos::MAX }
     }
 }
 
 impl<T: Ord> TimerQueue<T> {
-    /// Starts a timer; one at `u64::MAX` never fires.
-    pub fn start(&mut self, at: u64, timer: T) {
-        if at < u64::MAX {
+    /// Starts a timer; one at `Nanos::MAX` never fires.
+    pub fn start(&mut self, at: Nanos, timer: T) {
+        if at < Nanos::MAX {
             self.timers.push(Reverse((at, timer)));
         }
     }
 
     /// Removes and returns the earliest timer that has expired by now.
-    pub fn pop_expired(&mut self, now: u64) -> Option<T> {
+    pub fn pop_expired(&mut self, now: Nanos) -> Option<T> {
         if self.timers.peek().is_none_or(|Reverse((at, _))| *at > now) {
             return None;
         }
@@ -54,14 +55,14 @@
     }
 
     /// Notes that a wake-up has come; one that was not requested changes nothing.
-    pub fn note_wake(&mut self, now: u64) {
+    pub fn note_wake(&mut self, now: Nanos) {
         if self.requested_wake <= now {
-            self.requested_wake = u64::MAX;
+            self.requested_wake = Nanos::MAX;
         }
     }
 
     /// Returns the moment of the next wake-up if it must be requested: none as early has been.
-    pub fn request_wake(&mut self, now: u64) -> Option<u64> {
+    pub fn request_wake(&mut self, now: Nanos) -> Option<Nanos> {
         self.note_wake(now);
         let Reverse((at, _)) = self.timers.peek()?;
         if *at >= self.requested_wake {
--- a/crates/dispatcher/src/traffic.rs
+++ b/crates/dispatcher/src/traffic.rs
@@ -169,7 +169,7 @@
 /// What is measured of a class's requests.
 pub(crate) struct ClassStats {
     /// Mean time (ns) of an attempt.
-    mean_run: f64,
+    mean_run_ns: f64,
     /// Longest time (ns) that a client waits.
     deadline: Nanos,
 }
@@ -177,18 +177,18 @@
 impl ClassStats {
     /// Creates the statistics with nothing measured.
     pub(crate) fn new(class: &Class) -> Self {
-        let mean_run = INITIAL_RUN_FACTOR * class.latency_objective as f64;
-        ClassStats { mean_run, deadline: class.deadline }
+        let mean_run_ns = INITIAL_RUN_FACTOR * class.latency_objective as f64;
+        ClassStats { mean_run_ns, deadline: class.deadline }
     }
 
     /// Takes in the time (ns) of an attempt that has run.
-    pub(crate) fn record_run(&mut self, run: f64) {
-        self.mean_run += RUN_WEIGHT * (run - self.mean_run);
+    pub(crate) fn record_run(&mut self, run_ns: f64) {
+        self.mean_run_ns += RUN_WEIGHT * (run_ns - self.mean_run_ns);
     }
 
     /// Returns the mean time (ns) of an attempt.
-    pub(crate) fn mean_run(&self) -> f64 {
-        self.mean_run
+    pub(crate) fn mean_run_ns(&self) -> f64 {
+        self.mean_run_ns
     }
 
     /// Returns the longest time (ns) that a client waits.
--- a/crates/dispatcher/tests/slow_start.rs
+++ b/crates/dispatcher/tests/slow_start.rs
@@ -92,7 +92,7 @@
                             ServiceSample::Ran { completed: true, capacity_share: 1.0 },
                         );
                     }
-                    rates += 1.0 / time.mean(0) / 2_000.0;
+                    rates += 1.0 / time.mean_s(0) / 2_000.0;
                 }
                 // Of the heaviest tails the deadline cuts off a part.
                 assert!(rates < 1.25, "cv {variation}, {deadline} s, {jobs} jobs: {rates:.2} of the rate");
@@ -112,8 +112,8 @@
         time.job_ended(0, S / 10, ServiceSample::Ran { completed: true, capacity_share: 1.0 });
         time.job_began(0);
     }
-    assert!(time.mean(S) > 1.0, "{:.2} s", time.mean(S));
-    assert!(time.mean(3 * S) > 2.0, "{:.2} s", time.mean(3 * S));
+    assert!(time.mean_s(S) > 1.0, "{:.2} s", time.mean_s(S));
+    assert!(time.mean_s(3 * S) > 2.0, "{:.2} s", time.mean_s(3 * S));
     // What was rejected does not count, what was cancelled counts as long as it was there.
     for n in 0..100 {
         let sample = if n % 2 == 0 {
@@ -123,7 +123,7 @@
         };
         time.job_ended(0, 3 * S, sample);
     }
-    let mean = time.mean(9 * S);
+    let mean = time.mean_s(9 * S);
     assert!(mean > 1.5 && mean < 3.0, "{mean:.2} s");
 }
 
