--- a/crates/daemon/src/acceptor.rs
+++ b/crates/daemon/src/acceptor.rs
@@ -38,19 +38,20 @@
 /// Clients may hold only so many connections for their requests, and some open one for each and let it stay:
 /// more than this part (1/n) of the places does not stay idle, or they could open no others.
 const IDLE_PART: usize = 4;
-/// Closed with input unread, a connection is reset, and the client may lose the answer that it has not read:
-/// so much is still read, for so long.
-const DRAINED: usize = 256 << 10;
-const DRAIN: Duration = Duration::from_millis(500);
+/// Closed with input unread, a connection is reset, and the client may lose the answer that it has not read: so many bytes
+/// are still read.
+const MAX_DISCARDED_BYTES: usize = 256 << 10;
+/// For how long they are read.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
 const TOO_SLOW: EarlyRejection =
     EarlyRejection::new(StatusCode::REQUEST_TIMEOUT, "request not whole in time");
 const TOO_MANY_CONNECTIONS: EarlyRejection =
     EarlyRejection::new(StatusCode::SERVICE_UNAVAILABLE, "too many connections");
 
-/// The connections of service clients.
+/// The slots for connections of clients.
 struct ConnectionSlots {
-    most: usize,
+    max: usize,
     /// Connections beyond these, while those that have been shed for them are closing.
     spare: usize,
     counters: SharedCounters,
@@ -83,13 +84,13 @@
     }
 
     fn crowded(&self) -> bool {
-        self.occupied().connections.len() >= self.most + self.spare
+        self.occupied().connections.len() >= self.max + self.spare
     }
 
     /// A place for a newcomer, for which another may be told to go; `None` if all are in use.
     fn take(self: &Arc<Self>, client_connection: &Arc<ClientConnection>) -> Option<ConnectionSlot> {
         let mut occupied = self.occupied();
-        if occupied.connections.len() >= self.most + self.spare {
+        if occupied.connections.len() >= self.max + self.spare {
             // Nor is another told to go for one that gets no place.
             return None;
         }
@@ -98,13 +99,13 @@
             .values()
             .filter_map(|client_connection| Some((client_connection.rank()?, client_connection)));
         let idle: Vec<_> = idle.filter(|((rank, _), _)| *rank == IDLE_RANK).collect();
-        if idle.len() > self.most / IDLE_PART {
+        if idle.len() > self.max / IDLE_PART {
             idle.iter().min_by_key(|(rank, _)| *rank)?.1.tell_to_end();
             self.counters.shed.add();
         }
         let staying =
             occupied.connections.values().filter(|client_connection| !client_connection.shedding()).count();
-        if staying >= self.most {
+        if staying >= self.max {
             let ranked = occupied
                 .connections
                 .values()
@@ -128,7 +129,7 @@
 /// Accepts client connections until the shutdown has closed the door; returns when all have ended.
 pub async fn serve(listener: TcpListener, handler: JobHandler, descriptors: Descriptors) {
     let slots = Arc::new(ConnectionSlots {
-        most: descriptors.clients,
+        max: descriptors.clients,
         spare: descriptors.closing,
         counters: handler.counters.clone(),
         occupied: Mutex::default(),
@@ -217,9 +218,11 @@
         tokio::task::yield_now().await;
     }
     match slots.take(&client_connection) {
-        Some(slot) => {
-            drop(tokio::spawn(connection(stream, JobHandler { client_connection, ..handler.clone() }, slot)))
-        }
+        Some(slot) => drop(tokio::spawn(serve_connection(
+            stream,
+            JobHandler { client_connection, ..handler.clone() },
+            slot,
+        ))),
         None => {
             handler.counters.turned_away.add();
             turn_away(stream);
@@ -265,26 +268,48 @@
     Ending,
 }
 
-/// One client connection. It ends by itself, or when its client takes too long over a request or stays away;
-/// told to end, an idle one closes at once, which the protocol allows, and a busy one after its answer.
-async fn connection(stream: TcpStream, handler: JobHandler, slot: ConnectionSlot) {
-    let (shutdown, counters, client_connection) =
-        (handler.shutdown.clone(), handler.counters.clone(), handler.client_connection.clone());
+type HttpConnection = http1::Connection<TokioIo<ClientStream>, TowerToHyperService<JobHandler>>;
+
+/// Serves one client connection until it is closed. The task that runs it is owned by the connection's slot: the acceptor
+/// returns when all slots are free.
+async fn serve_connection(stream: TcpStream, handler: JobHandler, slot: ConnectionSlot) {
+    let (shutdown, counters) = (handler.shutdown.clone(), handler.counters.clone());
+    let client_connection = handler.client_connection.clone();
     debug!(client = client_connection.number, peer = ?stream.peer_addr().ok(), "client accepted");
-    let mut client_stream = ClientStream::new(stream, client_connection.clone());
+    let client_stream = ClientStream::new(stream, client_connection.clone());
     let mut connection = http1::Builder::new()
         .max_buf_size(LARGEST_HEAD)
         .header_read_timeout(None)
         .serve_connection(TokioIo::new(client_stream.clone()), TowerToHyperService::new(handler));
-    let mut told = pin!(async {
+    let reason = drive(&mut connection, &client_stream, &client_connection, &shutdown).await;
+    check_close(&client_connection, reason, &counters);
+    // Dropping it cancels the job that it was serving.
+    drop(connection);
+    // A connection that is shed while its input is discarded closes at once.
+    tokio::select! {
+        _ = timeout(DISCARD_TIMEOUT, close(client_stream, &client_connection, reason, &counters)) => {}
+        () = client_connection.shed.notified() => {}
+    }
+    drop(slot);
+}
+
+/// Drives a connection until it ends by itself, its client takes too long over a request or stays away, or it is to end for
+/// another client or a shutdown. Then an idle one ends at once, which the protocol allows, and a busy one after its answer.
+async fn drive(
+    connection: &mut HttpConnection,
+    client_stream: &ClientStream,
+    client_connection: &ClientConnection,
+    shutdown: &Shutdown,
+) -> CloseReason {
+    let mut end_requested = pin!(async {
         tokio::select! {
             () = client_connection.shed.notified() => {}
             () = shutdown.closing() => {}
         }
     });
-    let (mut told_at, mut closing) = (None, false);
+    let (mut end_requested_at, mut closing) = (None, false);
     let mut timer = pin!(sleep_until(Instant::now().into()));
-    let reason = poll_fn(|cx| {
+    poll_fn(|cx| {
         if let Poll::Ready(ended) = connection.poll_without_shutdown(cx) {
             return Poll::Ready(match ended {
                 Err(error) => {
@@ -292,80 +317,79 @@
                     CloseReason::ClientLeft
                 }
                 Ok(()) if client_stream.has_ended() => CloseReason::ClientLeft,
-                Ok(()) if told_at.is_some() => CloseReason::Ending,
+                Ok(()) if end_requested_at.is_some() => CloseReason::Ending,
                 Ok(()) => CloseReason::LastAnswer,
             });
         }
         if client_stream.poll_gone(cx).is_ready() {
             return Poll::Ready(CloseReason::ClientLeft);
         }
-        if told_at.is_none() && told.as_mut().poll(cx).is_ready() {
-            told_at = Some(Instant::now());
+        if end_requested_at.is_none() && end_requested.as_mut().poll(cx).is_ready() {
+            end_requested_at = Some(Instant::now());
         }
         if client_connection.shedding() && client_connection.idle() {
             return Poll::Ready(CloseReason::Shed);
         }
-        // To hyper, which has not seen it, half a head is nothing, and the connection idle.
-        if told_at.is_some() && !closing && !client_connection.half() {
+        // hyper has not seen a partial head and takes the connection for idle.
+        if end_requested_at.is_some() && !closing && !client_connection.half() {
             closing = true;
-            Pin::new(&mut connection).graceful_shutdown();
+            Pin::new(&mut *connection).graceful_shutdown();
             cx.waker().wake_by_ref();
         }
-        let Some(due) = client_connection.due(told_at) else { return Poll::Pending };
+        let Some(due) = client_connection.due(end_requested_at) else { return Poll::Pending };
         if timer.deadline() != due.into() {
             timer.as_mut().reset(due.into());
         }
         timer.as_mut().poll(cx).map(|()| CloseReason::TooSlow)
     })
-    .await;
+    .await
+}
+
+/// Checks that a connection may be closed, and reports a violation if it may not.
+fn check_close(client_connection: &ClientConnection, reason: CloseReason, counters: &SharedCounters) {
     let request = client_connection.request();
     let facts = CloseFacts {
         has_unanswered_request: client_connection.busy(),
-        // It is answered with the close, below.
+        // It is answered when the connection is closed.
         has_partial_request: false,
-        // One that does not read has had its time.
+        // A client that does not read has had its time.
         has_unwritten_response: client_connection.stuck() && reason == CloseReason::Shed,
         client_disconnected: reason == CloseReason::ClientLeft,
     };
-    let late = matches!(reason, CloseReason::Shed | CloseReason::TooSlow);
     debug!(client = client_connection.number, ?reason, unanswered = ?request, "client closed");
     if let Err(denial) = permits::close(facts) {
-        let none = HeaderValue::from_static("none");
-        violations::report(&counters, Operation::Close, denial, request.as_ref().unwrap_or(&none));
+        let request = request.unwrap_or(HeaderValue::from_static("none"));
+        violations::report(counters, Operation::Close, denial, &request);
     }
-    // With it goes what it was serving.
-    drop(connection);
-    let rejection = match (late, client_connection.half()) {
+}
+
+/// Answers a request that was not read completely, and closes the stream. Input that comes meanwhile is discarded.
+async fn close(
+    mut client_stream: ClientStream,
+    client_connection: &ClientConnection,
+    reason: CloseReason,
+    counters: &SharedCounters,
+) -> io::Result<()> {
+    let is_late = matches!(reason, CloseReason::Shed | CloseReason::TooSlow);
+    let rejection = match (is_late, client_connection.half()) {
         (true, true) if client_connection.shedding() => Some(TOO_MANY_CONNECTIONS),
         (true, true) => Some(TOO_SLOW),
         _ => client_connection.refusal(),
     };
-    let close = async {
-        if let Some(rejection) = rejection {
-            counters.rejected.add();
-            debug!(
-                client = client_connection.number,
-                status = rejection.status.as_u16(),
-                why = rejection.reason,
-                "rejected"
-            );
-            client_stream.write_all(&rejection.to_bytes()).await?;
-        }
-        client_stream.shutdown().await?;
-        // Another waits for the place of one that is shed.
-        let mut left = if client_connection.shedding() { 0 } else { DRAINED };
-        while left > 0 {
-            match poll_fn(|cx| client_stream.poll_discard(cx)).await? {
-                0 => break,
-                n => left = left.saturating_sub(n),
-            }
+    if let Some(rejection) = rejection {
+        counters.rejected.add();
+        let status = rejection.status.as_u16();
+        debug!(client = client_connection.number, status, why = rejection.reason, "rejected");
+        client_stream.write_all(&rejection.to_bytes()).await?;
+    }
+    client_stream.shutdown().await?;
+    // Another client waits for the slot of a connection that is shed.
+    let mut left = if client_connection.shedding() { 0 } else { MAX_DISCARDED_BYTES };
+    while left > 0 {
+        match poll_fn(|cx| client_stream.poll_discard(cx)).await? {
+            0 => break,
+            discarded => left = left.saturating_sub(discarded),
         }
-        std::io::Result::Ok(())
-    };
-    // So may it be while it drains.
-    tokio::select! {
-        _ = timeout(DRAIN, close) => {}
-        () = client_connection.shed.notified() => {}
     }
-    drop(slot);
+    Ok(())
 }
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -6,9 +6,10 @@
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
+use hyper::body::Incoming;
 use hyper::header::{HeaderName, HeaderValue, CONTENT_LENGTH, HOST};
 use hyper::http::uri::PathAndQuery;
-use hyper::{Method, Request, StatusCode, Uri};
+use hyper::{Method, Request, Response, StatusCode, Uri};
 use nickelflow_engine::permits::{Denial, Operation};
 use nickelflow_engine::{LoadReport, Outcome};
 use tokio::sync::{mpsc, watch};
@@ -41,7 +42,7 @@
 /// The version of the rules that an attempt was decided under; absent where none are agreed on.
 const RULES: HeaderName = HeaderName::from_static("nickelflow-rules");
 /// The longest line and body read from a worker.
-const LONGEST: usize = 64 << 10;
+const MAX_RESPONSE_BYTES: usize = 64 << 10;
 /// A probe is answered beside the queue; one that takes longer finds a stuck worker.
 const PROBE: Duration = Duration::from_millis(250);
 /// A probe that ran out so much later than its time says that this process stood still, and nothing of the worker.
@@ -51,7 +52,7 @@
 /// For how long the end of an answer is waited for, so that its connection can serve again.
 const TAIL: Duration = Duration::from_secs(1);
 /// How often an attempt is written anew whose head has grown old before its first byte.
-const REWRITES: u32 = 3;
+const MAX_REWRITES: u32 = 3;
 
 /// The workers' side of the scheduler: its connections to all of them.
 pub struct WorkerClient {
@@ -79,13 +80,44 @@
         self.rules_lease.as_ref().and_then(|rules_lease| rules_lease.valid_until)
     }
 
+    /// Returns the guard for its write, which begins now.
+    fn write_guard(&self, request: &ForwardedRequest) -> WriteGuard {
+        WriteGuard {
+            stop: self.stop.clone(),
+            client: request.client.clone(),
+            deadline: self.deadline,
+            resend_deadline: self.send_by,
+            rules_valid_until: self.rules_valid_until(),
+            head_read: Instant::now(),
+        }
+    }
+
     /// When it is given up while it waits: what is not written by then must not be.
     fn give_up_at(&self) -> Instant {
         [self.send_by, self.rules_valid_until()].into_iter().flatten().fold(self.deadline, Instant::min)
     }
 }
 
-/// Where an attempt has come to, for its line in the log.
+/// A response that has not been read to its end, and its connection.
+struct UnreadResponse {
+    lines: LineReader,
+    connection: CheckedOutConnection,
+}
+
+/// An attempt that has ended.
+struct FinishedAttempt {
+    result: AttemptResult,
+    /// The rest of its response, after which the connection can be used again.
+    unread: Option<UnreadResponse>,
+}
+
+impl FinishedAttempt {
+    fn without_response(outcome: Outcome) -> Self {
+        FinishedAttempt { result: outcome.into(), unread: None }
+    }
+}
+
+/// The course of an attempt, for its line in the log.
 #[derive(Default)]
 struct AttemptTrace {
     connection: Option<u64>,
@@ -124,12 +156,12 @@
         let AttemptId { job, attempt } = id;
         let made = Attempt { id, address, deadline, stop: stop.clone(), rules_lease, send_by, retry_safety };
         let mut trace = AttemptTrace::default();
-        let (end, tail) = tokio::select! {
+        let FinishedAttempt { result, unread } = tokio::select! {
             // An end that crosses the cancel counts: what it tells is known.
             biased;
-            done = self.attempt(made, &request, &mut trace) => done,
-            () = stopped(stop, StopLevel::Immediate) => (Outcome::Cancelled.into(), None),
-            () = tokio::time::sleep_until(deadline.into()) => (Outcome::Timeout.into(), None),
+            done = self.attempt(&made, &request, &mut trace) => done,
+            () = stopped(stop, StopLevel::Immediate) => FinishedAttempt::without_response(Outcome::Cancelled),
+            () = tokio::time::sleep_until(deadline.into()) => FinishedAttempt::without_response(Outcome::Timeout),
         };
         debug!(
             request = ?request.request_id,
@@ -139,113 +171,126 @@
             connection = trace.connection,
             kept_ms = trace.kept_for.map(|age| age.as_millis() as u64),
             written = trace.written,
-            outcome = %outcome_name(end.outcome),
+            outcome = %outcome_name(result.outcome),
             denied = trace.denied.map(Denial::name),
             why = trace.why,
             "attempt ended"
         );
-        let _ = self.queue.send(Event::AttemptEnded { id, result: end });
-        if let Some((lines, lease)) = tail {
-            self.finish(lines, lease).await;
+        let _ = self.queue.send(Event::AttemptEnded { id, result });
+        if let Some(unread) = unread {
+            self.finish(unread).await;
         }
     }
 
+    /// Sends an attempt and reads its response up to the line that ends it.
     async fn attempt(
         &self,
-        made: Attempt,
+        attempt: &Attempt,
         request: &ForwardedRequest,
         trace: &mut AttemptTrace,
-    ) -> (AttemptResult, Option<(LineReader, CheckedOutConnection)>) {
-        let give_up_at = made.give_up_at();
-        // A kept connection may hold a late answer to what went before, and a job that must not run twice might run
-        // twice for it.
-        let mut wanted = if made.retry_safety == RetrySafety::Unsafe {
-            ConnectionPreference::Settled
-        } else {
-            ConnectionPreference::Any
+    ) -> FinishedAttempt {
+        let (connection, response) = match self.send(attempt, request, trace).await {
+            Ok(sent) => sent,
+            Err(outcome) => return FinishedAttempt::without_response(outcome),
+        };
+        let (mut outcome, report) = (head_outcome(&response), head_report(&response));
+        // A head names no job: this one may be of the job before, and proves nothing then.
+        let may_be_of_other_job = !settled(connection.answered) && attempt.retry_safety != RetrySafety::Safe;
+        if may_be_of_other_job && outcome.is_some_and(Outcome::never_ran) {
+            outcome = Some(Outcome::Reset);
+        }
+        let mut lines = LineReader::new(response.into_body(), MAX_RESPONSE_BYTES);
+        if let Some(outcome) = outcome {
+            let result = AttemptResult { outcome, result: None, report };
+            return FinishedAttempt { result, unread: Some(UnreadResponse { lines, connection }) };
+        }
+        match self.read_lines(&mut lines, attempt, request).await {
+            Ok(mut result) => {
+                result.report = result.report.or(report);
+                FinishedAttempt { result, unread: Some(UnreadResponse { lines, connection }) }
+            }
+            Err(why) => {
+                trace.why = Some(why);
+                FinishedAttempt::without_response(Outcome::Reset)
+            }
+        }
+    }
+
+    /// Writes an attempt and waits for the head of its response; the error is the outcome without one. The request is
+    /// written anew only where no worker can have got all of it.
+    async fn send(
+        &self,
+        attempt: &Attempt,
+        request: &ForwardedRequest,
+        trace: &mut AttemptTrace,
+    ) -> Result<(CheckedOutConnection, Response<Incoming>), Outcome> {
+        // An idle connection may still bring a late response to the job before, which could be taken for this job's. A
+        // non-idempotent job might run twice for it.
+        let mut preference = match attempt.retry_safety {
+            RetrySafety::Unsafe => ConnectionPreference::Settled,
+            RetrySafety::Safe | RetrySafety::Deduplicated => ConnectionPreference::Any,
         };
         let mut rewrites = 0;
-        let (lease, answer) = loop {
-            // Whatever came in while a place or the connection was waited for is heeded before the first byte: a cancel,
-            // the worker's leave, the client's. What comes later still, the guard looks for.
-            let lease = tokio::select! {
-                biased;
-                () = stopped(made.stop.clone(), StopLevel::IfUnstarted) => Err(Outcome::NotSent),
-                () = tokio::time::sleep_until(give_up_at.into()) => Err(Outcome::NotSent),
-                lease = self.pool.lease(made.address, wanted, self.worker_connections.connect) => lease,
-            };
-            let mut lease = match lease {
-                Ok(lease) => lease,
-                Err(outcome) => return (outcome.into(), None),
-            };
-            trace.connection = Some(lease.connection.number);
-            trace.kept_for = lease.reused.then(|| lease.connection.opened.elapsed());
-            let guard = WriteGuard {
-                stop: made.stop.clone(),
-                client: request.client.clone(),
-                deadline: made.deadline,
-                resend_deadline: made.send_by,
-                rules_valid_until: made.rules_valid_until(),
-                head_read: Instant::now(),
-            };
-            // A process that stood still, or connected for long, sees here that it is too late.
+        loop {
+            let mut connection = self.check_out(attempt, preference).await?;
+            trace.connection = Some(connection.connection.number);
+            trace.kept_for = connection.reused.then(|| connection.connection.opened.elapsed());
+            let guard = attempt.write_guard(request);
+            // A process that was stalled, or took long to connect, finds out here that it is too late.
             if let Err(denial) = guard.permit(false) {
                 trace.denied = Some(denial);
-                self.pool.give_back(lease);
-                return (Outcome::NotSent.into(), None);
+                self.pool.give_back(connection);
+                return Err(Outcome::NotSent);
             }
-            let http_request = request.to_http(&made, guard.head_read);
-            let sent = lease.connection.send(http_request, guard).await;
-            trace.written = lease.connection.bytes_written();
-            if let Some(denial) = lease.connection.violation() {
+            let http_request = request.to_http(attempt, guard.head_read);
+            let sent = connection.connection.send(http_request, guard).await;
+            trace.written = connection.connection.bytes_written();
+            if let Some(denial) = connection.connection.violation() {
                 violations::report(&self.counters, Operation::Write, denial, &request.request_id);
             }
-            let broken = match sent {
-                Ok(answer) => break (lease, answer),
-                Err(broken) => broken,
+            let error = match sent {
+                Ok(response) => return Ok((connection, response)),
+                Err(error) => error,
             };
-            match broken.written {
-                // Too much came between its head and its first byte: it is written anew.
-                WriteProgress::Denied(Denial::HeadersOutdated) if rewrites < REWRITES => {
+            match error.written {
+                // Too much time passed between its head and its first byte.
+                WriteProgress::Denied(Denial::HeadersOutdated) if rewrites < MAX_REWRITES => {
                     rewrites += 1;
-                    wanted = ConnectionPreference::New;
+                    preference = ConnectionPreference::New;
                 }
                 WriteProgress::Denied(denial) => {
                     trace.denied = Some(denial);
-                    return (Outcome::NotSent.into(), None);
+                    return Err(Outcome::NotSent);
+                }
+                // The worker closed the idle connection, and not a byte was written.
+                WriteProgress::Nothing if connection.reused => preference = ConnectionPreference::New,
+                WriteProgress::Nothing | WriteProgress::Partial => {
+                    trace.why = Some(error.why);
+                    return Err(Outcome::ConnectFailed);
                 }
-                // The worker closed it while it was idle and not a byte went out: nothing was sent yet.
-                WriteProgress::Nothing if lease.reused => wanted = ConnectionPreference::New,
-                written => {
-                    trace.why = Some(broken.why);
-                    let whole = written == WriteProgress::Complete;
-                    if lease.reused && whole {
+                WriteProgress::Complete => {
+                    trace.why = Some(error.why);
+                    if connection.reused {
                         self.pool.distrust();
                     }
-                    let outcome = if whole { Outcome::Reset } else { Outcome::ConnectFailed };
-                    return (outcome.into(), None);
+                    return Err(Outcome::Reset);
                 }
             }
-        };
-        let (mut outcome, report) = (head_outcome(&answer), head_report(&answer));
-        // A head names no job: this one may be of the job before, and proves nothing then.
-        let foreign = !settled(lease.answered) && made.retry_safety != RetrySafety::Safe;
-        if foreign && outcome.is_some_and(Outcome::never_ran) {
-            outcome = Some(Outcome::Reset);
         }
-        let mut lines = LineReader::new(answer.into_body(), LONGEST);
-        if let Some(outcome) = outcome {
-            return (AttemptResult { outcome, result: None, report }, Some((lines, lease)));
-        }
-        match self.read_lines(&mut lines, &made, request).await {
-            Ok(mut end) => {
-                end.report = end.report.or(report);
-                (end, Some((lines, lease)))
-            }
-            Err(why) => {
-                trace.why = Some(why);
-                (Outcome::Reset.into(), None)
-            }
+    }
+
+    /// Takes a connection to the attempt's worker. Whatever happens while it waits is heeded before the first byte: a
+    /// cancellation, the worker's draining, the client's disconnection. What happens later the write guard finds.
+    async fn check_out(
+        &self,
+        attempt: &Attempt,
+        preference: ConnectionPreference,
+    ) -> Result<CheckedOutConnection, Outcome> {
+        tokio::select! {
+            biased;
+            () = stopped(attempt.stop.clone(), StopLevel::IfUnstarted) => Err(Outcome::NotSent),
+            () = tokio::time::sleep_until(attempt.give_up_at().into()) => Err(Outcome::NotSent),
+            connection = self.pool.lease(attempt.address, preference, self.worker_connections.connect) => connection,
         }
     }
 
@@ -254,7 +299,7 @@
     async fn read_lines(
         &self,
         lines: &mut LineReader,
-        made: &Attempt,
+        attempt: &Attempt,
         request: &ForwardedRequest,
     ) -> Result<AttemptResult, String> {
         loop {
@@ -263,10 +308,10 @@
                 continue;
             }
             match WorkerMessage::read(&line, request.request_id.as_bytes()) {
-                Ok(WorkerMessage::Progress) => drop(self.queue.send(Event::Progress { id: made.id })),
+                Ok(WorkerMessage::Progress) => drop(self.queue.send(Event::Progress { id: attempt.id })),
                 Ok(WorkerMessage::Ended(end)) => return Ok(end),
                 Err(why) => {
-                    warn!(address = %made.address, request = ?request.request_id, why, "broken line from an instance");
+                    warn!(address = %attempt.address, request = ?request.request_id, why, "broken line from an instance");
                     return Err(why);
                 }
             }
@@ -274,13 +319,14 @@
     }
 
     /// Reads an answer to its end and keeps the connection.
-    async fn finish(&self, mut lines: LineReader, mut lease: CheckedOutConnection) {
+    async fn finish(&self, unread: UnreadResponse) {
+        let UnreadResponse { mut lines, mut connection } = unread;
         let tail = async {
             let mut left = 64;
             while let Ok(line) = lines.next().await {
                 left -= 1;
                 if line.is_none() {
-                    return lease.connection.ready().await;
+                    return connection.connection.ready().await;
                 } else if left == 0 {
                     return false;
                 }
@@ -288,8 +334,8 @@
             false
         };
         if timeout(TAIL, tail).await == Ok(true) {
-            lease.answered = Some(Instant::now());
-            self.pool.give_back(lease);
+            connection.answered = Some(Instant::now());
+            self.pool.give_back(connection);
         }
     }
 
@@ -331,7 +377,7 @@
             }
         };
         let (status, in_head) = (answer.status(), head_report(&answer));
-        let Ok(body) = Limited::new(answer.into_body(), LONGEST).collect().await else {
+        let Ok(body) = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES).collect().await else {
             return (Outcome::Reset, None);
         };
         if lease.connection.ready().await {
@@ -359,16 +405,16 @@
 }
 
 impl ForwardedRequest {
-    fn to_http(&self, made: &Attempt, now: Instant) -> Request<Full<Bytes>> {
+    fn to_http(&self, attempt: &Attempt, now: Instant) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = Uri::from(self.target.clone());
         let headers = request.headers_mut();
-        headers.insert(HOST, host(made.address));
+        headers.insert(HOST, host(attempt.address));
         headers.insert("request-id", self.request_id.clone());
         headers.extend(self.headers.iter().cloned());
-        headers.extend(made.rules_lease.as_ref().map(|rules_lease| (RULES, rules_lease.version.clone())));
-        let told = time_told(made.deadline.saturating_duration_since(now)).as_secs_f64();
+        headers.extend(attempt.rules_lease.as_ref().map(|rules_lease| (RULES, rules_lease.version.clone())));
+        let told = time_told(attempt.deadline.saturating_duration_since(now)).as_secs_f64();
         if let Ok(told) = HeaderValue::try_from(format!("{told:.3}")) {
             headers.insert("request-timeout", told);
         }
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -31,6 +31,16 @@
 }
 
 impl DeploymentIdentity {
+    fn new(name: Option<String>, names: &SettingNames, entry_names: &EntryNames) -> Self {
+        let names = [
+            ("classes", names.classes.clone()),
+            ("customers", names.tenants.clone()),
+            ("zones", entry_names.zones.clone()),
+            ("kinds", entry_names.kinds.clone()),
+        ];
+        DeploymentIdentity { name, names }
+    }
+
     /// Whether a later file is of the same scheduler and deployment, or what shows that it is not.
     fn same(&self, later: &DeploymentIdentity) -> Result<(), String> {
         if let (Some(name), Some(other)) = (&self.name, &later.name) {
@@ -64,8 +74,10 @@
     pub grace: Duration,
 }
 
+/// The number of descriptors where the file sets none: the usual limit of a process.
+const DEFAULT_SOCKETS: usize = 1024;
 /// The largest time that makes sense in a setting (ns): later sums of times must not overflow.
-const LONGEST: u64 = 30 * 24 * 3600 * 1_000_000_000;
+const MAX_TIME_NS: u64 = 30 * 24 * 3600 * 1_000_000_000;
 
 impl Config {
     /// Reads the file that `RELAY_CONFIG` names; the other variables go before what stands in it.
@@ -78,73 +90,83 @@
     pub fn decode(bytes: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let value = json::decode(bytes)?;
         let root = Field::root(&value);
-        let address = |variable: &str, name: &str| -> Result<SocketAddr, String> {
-            if let Some(text) = env(variable) {
-                return text.parse().map_err(|_| format!("{variable}: not an address with a port: {text}"));
-            }
-            let field = root.get(name)?;
-            field.text()?.parse().map_err(|_| field.error("must be an address with a port"))
-        };
         let seed = root.get("seed")?;
         let sockets = match root.opt("limits")? {
-            Some(limits) => limits.opt("sockets")?.map(|s| s.whole()).transpose()?,
+            Some(limits) => limits.opt("sockets")?.map(|sockets| sockets.whole()).transpose()?,
             None => None,
         };
         let settings = root.get("settings")?;
-        let named = |list: Option<Field>| -> Result<Vec<String>, String> {
-            list.map_or(Ok(vec![]), |l| l.items())?.iter().map(|f| f.text().map(str::to_owned)).collect()
-        };
-        let named_in = |list: Option<Field>| -> Result<Vec<String>, String> {
-            let items = list.map_or(Ok(vec![]), |l| l.items())?;
-            items.iter().map(|f| Ok(f.get("name")?.text()?.to_owned())).collect()
-        };
-        let entry_names =
-            EntryNames { zones: named(settings.opt("zones")?)?, kinds: named(settings.opt("kinds")?)? };
-        let known = match root.opt("known")? {
-            Some(known) => EndpointList::decode(&known, &entry_names)?,
-            None => EndpointList { index: 0, snapshot: true, entries: vec![], skipped: vec![] },
-        };
-        if let Some(why) = known.skipped.first() {
-            return Err(why.clone());
-        }
+        let zones = texts(settings.opt("zones")?)?;
+        let entry_names = EntryNames { zones, kinds: texts(settings.opt("kinds")?)? };
+        let known = known_workers(&root, &entry_names)?;
         let (caps, contract) = (settings.get("caps")?, settings.get("contract")?);
         let names = SettingNames {
-            classes: named_in(settings.opt("classes")?)?,
-            tenants: named_in(settings.opt("customers")?)?,
-        };
-        let identity = DeploymentIdentity {
-            name: root.opt("name")?.map(|name| name.text().map(str::to_owned)).transpose()?,
-            names: [
-                ("classes", names.classes.clone()),
-                ("customers", names.tenants.clone()),
-                ("zones", entry_names.zones.clone()),
-                ("kinds", entry_names.kinds.clone()),
-            ],
+            classes: names_of(settings.opt("classes")?)?,
+            tenants: names_of(settings.opt("customers")?)?,
         };
+        let name_in_file = root.opt("name")?.map(|name| name.text().map(str::to_owned)).transpose()?;
         Ok(Config {
-            identity,
+            identity: DeploymentIdentity::new(name_in_file, &names, &entry_names),
             name: match env("RELAY_NAME") {
                 Some(name) => name,
                 None => root.get("name")?.text()?.to_owned(),
             },
-            listen: address("RELAY_LISTEN", "listen")?,
-            discovery: address("RELAY_DISCOVERY", "discovery")?,
+            listen: address(&env, &root, "RELAY_LISTEN", "listen")?,
+            discovery: address(&env, &root, "RELAY_DISCOVERY", "discovery")?,
             seed: u64::from_str_radix(seed.text()?, 16)
                 .map_err(|_| seed.error("must be a hexadecimal number"))?,
-            sockets: sockets.unwrap_or(1024),
+            sockets: sockets.unwrap_or(DEFAULT_SOCKETS),
             names,
             worker_connections: WorkerConnectionConfig {
                 connect: Duration::from_nanos(time(&caps, "connect_timeout_ns", 1_000_000_000)?),
                 idle: Duration::from_nanos(time(&caps, "conn_idle_ns", 10_000_000_000)?),
                 grace: Duration::from_nanos(time(&contract, "stop_sending_within_ns", 500_000_000)?),
             },
-            settings: module_settings(&settings)?,
+            settings: dispatcher_settings(&settings)?,
             entry_names,
             known,
         })
     }
 }
 
+/// Reads an address from an environment variable or, where that is not set, from a field of the file.
+fn address(
+    env: impl Fn(&str) -> Option<String>,
+    root: &Field,
+    variable: &str,
+    name: &str,
+) -> Result<SocketAddr, String> {
+    if let Some(text) = env(variable) {
+        return text.parse().map_err(|_| format!("{variable}: not an address with a port: {text}"));
+    }
+    let field = root.get(name)?;
+    field.text()?.parse().map_err(|_| field.error("must be an address with a port"))
+}
+
+/// Reads a list of texts; one that is missing is empty.
+fn texts(list: Option<Field>) -> Result<Vec<String>, String> {
+    let items = list.map_or(Ok(vec![]), |list| list.items())?;
+    items.iter().map(|item| item.text().map(str::to_owned)).collect()
+}
+
+/// Reads the names of the objects in a list; one that is missing is empty.
+fn names_of(list: Option<Field>) -> Result<Vec<String>, String> {
+    let items = list.map_or(Ok(vec![]), |list| list.items())?;
+    items.iter().map(|item| Ok(item.get("name")?.text()?.to_owned())).collect()
+}
+
+/// Reads the endpoint list in the file. Unlike one from discovery it must be sound in every entry.
+fn known_workers(root: &Field, names: &EntryNames) -> Result<EndpointList, String> {
+    let Some(known) = root.opt("known")? else {
+        return Ok(EndpointList { index: 0, snapshot: true, entries: vec![], skipped: vec![] });
+    };
+    let known = EndpointList::decode(&known, names)?;
+    match known.skipped.first() {
+        Some(why) => Err(why.clone()),
+        None => Ok(known),
+    }
+}
+
 /// What a running scheduler takes from its file when told to read it again: where discovery is. The file must
 /// be sound as a whole and of the same deployment, and goes before `RELAY_DISCOVERY`, which is as old as the process.
 pub fn discovery_again(
@@ -160,7 +182,7 @@
 fn time(object: &Field, name: &str, default: u64) -> Result<u64, String> {
     let Some(field) = object.opt(name)? else { return Ok(default) };
     match field.whole()? {
-        ns if ns <= LONGEST => Ok(ns),
+        ns if ns <= MAX_TIME_NS => Ok(ns),
         _ => Err(field.error("must be a time of at most 30 days")),
     }
 }
@@ -173,78 +195,89 @@
     object.opt(name)?.map_or(Ok(false), |field| field.flag())
 }
 
-/// The object of the simulator's first message, as the module's settings.
-fn module_settings(settings: &Field) -> Result<Settings, String> {
-    let specifics = settings.opt("specifics")?;
-    let of_class = |list: &str, number: usize| -> Result<Option<f64>, String> {
-        let Some(list) = specifics.as_ref().map_or(Ok(None), |s| s.opt(list))? else { return Ok(None) };
-        list.items()?.get(number).map(|field| field.number()).transpose()
-    };
-    let class = |(number, class): (usize, &Field)| -> Result<Class, String> {
-        let group = match class.opt("group")? {
-            Some(group) => group.word(&[
-                ("all", DeduplicationScope::All),
-                ("zone", DeduplicationScope::Zone),
-                ("cell", DeduplicationScope::Cell),
-            ])?,
-            None => DeduplicationScope::Cell,
-        };
-        let effects = [
-            ("pure", Idempotency::Idempotent),
-            ("token", Idempotency::IdempotentWithKey(group)),
-            ("side_effect", Idempotency::NonIdempotent),
-        ];
-        let stretch = of_class("class_stretch", number)?.unwrap_or(0.0);
-        class.get("deadline_ns")?;
-        class.get("on_time_ns")?;
-        Ok(Class {
-            idempotency: class.get("effect")?.word(&effects)?,
-            deduplication_window: time(class, "window_ns", 0)?,
-            latency_objective: time(class, "on_time_ns", 0)?,
-            latency_stretch: self::number(class, "aim_stretch", stretch)?,
-            deadline: time(class, "deadline_ns", 0)?,
-            priority_weight: self::number(class, "importance", 1.0)?,
-            late_weight_share: self::number(class, "late_value", 0.0)?,
-            required_kind: of_class("class_kind", number)?
-                .filter(|kind| *kind >= 0.0)
-                .map(|kind| kind as u32),
-        })
+/// Returns a figure of a class from one of the lists in `specifics`, which are ordered as the classes are.
+fn class_specific(specifics: Option<&Field>, list: &str, class: usize) -> Result<Option<f64>, String> {
+    let Some(specifics) = specifics else { return Ok(None) };
+    let Some(list) = specifics.opt(list)? else { return Ok(None) };
+    list.items()?.get(class).map(|figure| figure.number()).transpose()
+}
+
+/// Reads the class with this index.
+fn class_settings(index: usize, class: &Field, specifics: Option<&Field>) -> Result<Class, String> {
+    let scope = match class.opt("group")? {
+        Some(scope) => scope.word(&[
+            ("all", DeduplicationScope::All),
+            ("zone", DeduplicationScope::Zone),
+            ("cell", DeduplicationScope::Cell),
+        ])?,
+        None => DeduplicationScope::Cell,
     };
+    let idempotencies = [
+        ("pure", Idempotency::Idempotent),
+        ("token", Idempotency::IdempotentWithKey(scope)),
+        ("side_effect", Idempotency::NonIdempotent),
+    ];
+    let stretch = class_specific(specifics, "class_stretch", index)?.unwrap_or(0.0);
+    class.get("deadline_ns")?;
+    class.get("on_time_ns")?;
+    Ok(Class {
+        idempotency: class.get("effect")?.word(&idempotencies)?,
+        deduplication_window: time(class, "window_ns", 0)?,
+        latency_objective: time(class, "on_time_ns", 0)?,
+        latency_stretch: number(class, "aim_stretch", stretch)?,
+        deadline: time(class, "deadline_ns", 0)?,
+        priority_weight: number(class, "importance", 1.0)?,
+        late_weight_share: number(class, "late_value", 0.0)?,
+        required_kind: class_specific(specifics, "class_kind", index)?
+            .filter(|kind| *kind >= 0.0)
+            .map(|kind| kind as u32),
+    })
+}
+
+/// Returns whether load reports contain the free slots.
+fn reports_free_slots(settings: &Field) -> Result<bool, String> {
+    let Some(report) = settings.opt("load_report")? else { return Ok(false) };
+    let is_reported = report.opt("how")?.map_or(Ok("silent"), |how| how.text())? != "silent";
+    let fields = report.opt("fields")?.map_or(Ok(vec![]), |fields| fields.items())?;
+    Ok(is_reported && fields.iter().any(|name| name.text() == Ok("x0")))
+}
+
+fn service_limits(contract: &Field) -> Result<ServiceLimits, String> {
+    Ok(ServiceLimits {
+        slow_start_initial_share: number(contract, "cold_from", 1.0)?,
+        slow_start_duration: time(contract, "cold_ns", 0)?,
+        overload_multiple: number(contract, "fall_multiple", 1.0)?,
+        overload_duration: time(contract, "fall_ns", 1_000_000_000)?,
+        unsubscribed_list_validity: time(contract, "must_ask_in_ns", 10_000_000_000)?,
+    })
+}
+
+/// Reads the dispatcher's settings from the object of the platform's first message.
+fn dispatcher_settings(settings: &Field) -> Result<Settings, String> {
+    let specifics = settings.opt("specifics")?;
     let tenants = settings.opt("customers")?.map_or(Ok(vec![]), |customers| customers.items())?;
-    let tenant = |t: &Field| Ok(Tenant { quota_per_s: number(t, "quota_per_s", 0.0)? });
+    let tenant = |tenant: &Field| Ok(Tenant { quota_per_s: number(tenant, "quota_per_s", 0.0)? });
     let (caps, contract) = (settings.get("caps")?, settings.get("contract")?);
-    let reports_slots = match settings.opt("load_report")? {
-        Some(report) => {
-            let told = report.opt("how")?.map_or(Ok("silent"), |how| how.text())? != "silent";
-            let fields = report.opt("fields")?.map_or(Ok(vec![]), |fields| fields.items())?;
-            told && fields.iter().any(|name| name.text() == Ok("x0"))
-        }
-        None => false,
-    };
+    let reports_free_slots = reports_free_slots(settings)?;
     // `live` figures shift from list to list: keys that followed them would be fetched anew with each.
     let weights = settings.opt("weights")?.map_or(Ok("silent"), |weights| weights.text())?;
-    let tells_size = matches!(weights, "nominal" | "rough");
+    let reports_registered_size = matches!(weights, "nominal" | "rough");
     let mode = settings.opt("membership_mode")?;
-    let tells_start = specifics.as_ref().map_or(Ok(false), |s| flag(s, "tells_start"))?;
-    let progress = specifics.as_ref().map_or(Ok(0), |s| time(s, "progress_ns", 0))?;
+    let notifies_job_start = specifics.as_ref().map_or(Ok(false), |s| flag(s, "tells_start"))?;
+    let progress_interval = specifics.as_ref().map_or(Ok(0), |s| time(s, "progress_ns", 0))?;
+    let class = |(index, class): (usize, &Field)| class_settings(index, class, specifics.as_ref());
     Ok(Settings {
         dispatchers: settings.get("balancers")?.whole()?,
         zone: settings.opt("az")?.map_or(Ok(0), |zone| zone.whole())?,
         classes: settings.get("classes")?.items()?.iter().enumerate().map(class).collect::<Result<_, _>>()?,
         tenants: tenants.iter().map(tenant).collect::<Result<_, String>>()?,
-        limits: ServiceLimits {
-            slow_start_initial_share: number(&contract, "cold_from", 1.0)?,
-            slow_start_duration: time(&contract, "cold_ns", 0)?,
-            overload_multiple: number(&contract, "fall_multiple", 1.0)?,
-            overload_duration: time(&contract, "fall_ns", 1_000_000_000)?,
-            unsubscribed_list_validity: time(&contract, "must_ask_in_ns", 10_000_000_000)?,
-        },
+        limits: service_limits(&contract)?,
         requires_subscription: mode.map_or(Ok(""), |mode| mode.text())? == "on_request",
         can_probe: flag(&caps, "probing")?,
-        reports_registered_size: tells_size,
-        reports_free_slots: reports_slots,
-        notifies_job_start: tells_start,
-        progress_interval: progress,
+        reports_registered_size,
+        reports_free_slots,
+        notifies_job_start,
+        progress_interval,
         can_cancel: flag(&caps, "cancel")?,
         allows_hedging: flag(&caps, "parallel_tries")?,
         max_attempts: caps.opt("most_tries")?.map_or(Ok(1), |tries| tries.whole())?,
