--- a/crates/dispatcher/src/active_rules.rs
+++ b/crates/dispatcher/src/active_rules.rs
@@ -61,6 +61,7 @@
         self.valid_until <= now
     }
 
+    /// Returns the restriction of a worker, if it has one.
     fn restriction(&self, address_hash: u64) -> Option<&WorkerRestriction> {
         self.rules.as_ref().and_then(|rules| rules.worker_restrictions.get(&address_hash))
     }
--- a/crates/dispatcher/src/dispatcher/admission.rs
+++ b/crates/dispatcher/src/dispatcher/admission.rs
@@ -76,6 +76,7 @@
         request.class = request.class.min(self.classes.len() as u32 - 1);
     }
 
+    /// Creates the job of an accepted request, and charges its tenant's quota.
     fn new_job(&mut self, request: Request) -> Job {
         let deadline = self.request_deadline(&request);
         let hold_until = self.hold_until(&request).min(deadline);
@@ -104,6 +105,7 @@
         }
     }
 
+    /// Returns when a request must have its final answer, a little before its client gives up.
     fn request_deadline(&self, request: &Request) -> Nanos {
         let margin = 2 * self.settings.clock_resolution;
         let deadline = self.now + request.time_left.saturating_sub(margin);
@@ -150,10 +152,12 @@
         self.class_of(job).late_weight_share > 0.0
     }
 
+    /// Returns whether the request may be held on once an answer in time is no longer possible.
     fn is_worth_holding_late(&self, job: &Job) -> bool {
         !job.is_over_quota() && self.late_answer_counts(job) && self.may_be_attempted(job)
     }
 
+    /// Puts the request into the hold queue, or moves it there to another rank.
     fn hold(&mut self, id: RequestId, rank: HoldRank) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let position = HoldPosition { rank, arrival: job.arrival };
@@ -215,6 +219,7 @@
         }
     }
 
+    /// Returns whether it is a held request's turn at a worker, and the worker is open for it.
     fn may_take_held(&mut self, index: usize, id: RequestId) -> bool {
         if self.has_low_traffic() {
             return self.first_open_candidate(id) == Some(index);
@@ -249,6 +254,7 @@
         self.close_request(id);
     }
 
+    /// Returns the Retry-After (ns) of a rejected request.
     fn retry_after(&mut self) -> Nanos {
         let longest = self.settings.max_retry_after;
         // One of many dispatchers that finds nothing open says little of the others, and the objective of a
--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -58,6 +58,7 @@
         self.timers.start(refilled_at, Timer::DrainHoldQueue { worker: index });
     }
 
+    /// Starts the timers after which an attempt without a sign of life is cancelled.
     fn start_hedge_timers(&mut self, attempt: AttemptId) {
         let Some(job) = self.jobs.get(&attempt.request).filter(|_| self.settings.can_cancel) else { return };
         let class = self.class_of(job);
@@ -146,6 +147,7 @@
         self.drain_hold_queue(ended.worker, actions);
     }
 
+    /// Marks an attempt as ended; `None` if it is unknown or has ended before.
     fn mark_ended(&mut self, id: AttemptId, outcome: Outcome) -> Option<EndedAttempt> {
         let job = self.jobs.get_mut(&id.request)?;
         let attempt = job.attempts.get_mut(id.number as usize).filter(|attempt| attempt.is_in_flight)?;
--- a/crates/dispatcher/src/dispatcher/membership.rs
+++ b/crates/dispatcher/src/dispatcher/membership.rs
@@ -58,6 +58,7 @@
         }
     }
 
+    /// Starts the backoff after which membership changes are subscribed to again.
     fn schedule_subscription(&mut self) {
         if !self.settings.requires_subscription {
             return;
@@ -68,6 +69,7 @@
         self.timers.start(self.now + delay.min(max_delay), Timer::Subscribe);
     }
 
+    /// Takes in one entry of the list.
     fn apply_entry(&mut self, entry: WorkerEntry) {
         let index = entry.worker.0 as usize;
         match self.workers.update_entry(&entry) {
@@ -77,6 +79,7 @@
         }
     }
 
+    /// Adds a worker that is new, has restarted or is ready again, and schedules its first probe.
     fn add_worker(&mut self, entry: WorkerEntry) {
         let index = entry.worker.0 as usize;
         let is_ready = entry.status == WorkerStatus::Ready;
@@ -108,6 +111,7 @@
         self.update_all_open_states(actions);
     }
 
+    /// Cancels the attempts that drained workers have not started, where another attempt is allowed.
     fn cancel_attempts_at_drained_workers(&self, actions: &mut Vec<Action>) {
         let is_drained = |index: usize| {
             let worker = self.workers.get(index);
--- a/crates/dispatcher/src/dispatcher/mod.rs
+++ b/crates/dispatcher/src/dispatcher/mod.rs
@@ -37,8 +37,8 @@
 use crate::worker_load::{FleetFreeShare, MAX_REPORT_AGE};
 use crate::worker_table::WorkerTable;
 
-/// Each delay is drawn from this part of it up to its one and a half, so that workers that close together do
-/// not reopen together.
+/// Each delay is drawn evenly from half of it to one and a half times it, so that workers that close together
+/// do not reopen together.
 const JITTER: f64 = 0.5;
 /// A dispatcher has little traffic that sends a worker fewer jobs than this in a report's age: its own sends
 /// then say next to nothing of how the worker fares.
@@ -167,6 +167,7 @@
         }
     }
 
+    /// Moves the deadline of all requests up to that of the shutdown.
     fn begin_shutdown(&mut self, deadline: Nanos) {
         self.shutdown_deadline = deadline.min(self.shutdown_deadline);
         for request in self.jobs.keys() {
@@ -180,6 +181,7 @@
         (delay as f64 * factor) as Nanos
     }
 
+    /// Returns the class of a job's request.
     fn class_of(&self, job: &Job) -> &Class {
         &self.settings.classes[job.request.class as usize]
     }
--- a/crates/dispatcher/src/dispatcher/probing.rs
+++ b/crates/dispatcher/src/dispatcher/probing.rs
@@ -39,6 +39,7 @@
         }
     }
 
+    /// Schedules the probe of a closed worker, tau later or more.
     fn schedule_probe(&mut self, index: usize) {
         let most_are_failing = self.workers.most_are_failing();
         let worker_count = self.workers.len();
@@ -103,6 +104,7 @@
         }
     }
 
+    /// Has a worker probed for a held job.
     fn probe_for_job(&mut self, index: usize, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(index) else { return };
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -76,6 +76,7 @@
             && self.is_confirmed(worker)
     }
 
+    /// Returns whether the worker's free slots and memory cover the job.
     fn covers_demand(&self, worker: &Worker, job: &Job) -> bool {
         let Some(free) = worker.load.free_slots() else { return false };
         let slots = job.request.slots;
@@ -218,6 +219,7 @@
         jobs_per_s * mean_run_ns / NANOS_PER_SECOND / DEFAULT_SLOTS / TYPICAL_UTILIZATION
     }
 
+    /// Ranks the workers that a job may go to, by its key and their traffic weights.
     fn rank_candidates(&self, key: u64, cell: Option<u32>, tenant: Option<u32>) -> Vec<usize> {
         let weight = |index: usize| {
             let entry = &self.workers.get(index)?.entry;
--- a/crates/dispatcher/src/dispatcher/slow_start.rs
+++ b/crates/dispatcher/src/dispatcher/slow_start.rs
@@ -49,6 +49,7 @@
         }
     }
 
+    /// Returns whether a draw that still holds admits the job to a warming worker.
     fn is_drawn(&self, index: usize, worker: &Worker, job: &Job) -> bool {
         let validity = self.settings.limits.overload_duration / DRAW_VALIDITY_DIVISOR;
         let draw = find_draw(index, worker, job);
--- a/crates/dispatcher/src/service_rate.rs
+++ b/crates/dispatcher/src/service_rate.rs
@@ -142,6 +142,7 @@
         }
     }
 
+    /// Returns what is known of a kind, which begins with a single slot and nothing measured.
     fn kind_mut(&mut self, kind: u32) -> &mut KindStats {
         let deadline = self.mean_deadline;
         self.kinds.entry(kind).or_insert_with(|| KindStats {
--- a/crates/dispatcher/src/worker_load.rs
+++ b/crates/dispatcher/src/worker_load.rs
@@ -160,6 +160,7 @@
         self.record_change(now, slots, memory);
     }
 
+    /// Remembers a change for as long as reports may not show it.
     fn record_change(&mut self, now: Nanos, slots: f64, memory: f64) {
         while self.recent_changes.front().is_some_and(|change| change.at + MAX_REPORT_AGE < now) {
             self.recent_changes.pop_front();
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -121,6 +121,7 @@
         }
     }
 
+    /// Adds a worker to the ring of ready ones, or removes it.
     fn set_ready(&mut self, address_hash: u64, index: usize, is_ready: bool) {
         let position = mix(address_hash);
         if is_ready {
