--- a/crates/dispatcher/tests/scenarios/dispatch.rs
+++ b/crates/dispatcher/tests/scenarios/dispatch.rs
@@ -60,10 +60,10 @@
 
 #[test]
 fn a_job_is_sent_only_to_the_kind_of_worker_its_class_requires() {
-    let mut c = class(Idempotency::Idempotent);
-    c.required_kind = Some(1);
+    let mut class = class(Idempotency::Idempotent);
+    class.required_kind = Some(1);
     let other = WorkerEntry { kind: 1, ..entry(1) };
-    let mut harness = Harness::with_open_workers(settings(vec![c]), vec![entry(0), other], 4.0);
+    let mut harness = Harness::with_open_workers(settings(vec![class]), vec![entry(0), other], 4.0);
     for id in 0..4 {
         harness.submit(id);
         assert_eq!(harness.workers_tried(id), [1]);
@@ -97,9 +97,9 @@
     // 38 dispatchers saw the same eight free slots and filled them all (ia39c7e).
     let mut sent = 0;
     for seed in 0..20 {
-        let mut s = settings(vec![class(Idempotency::Idempotent)]);
-        s.dispatchers = 40;
-        let mut harness = Harness::with_seed(s, seed);
+        let mut settings = settings(vec![class(Idempotency::Idempotent)]);
+        settings.dispatchers = 40;
+        let mut harness = Harness::with_seed(settings, seed);
         harness.report = Some(free(8.0));
         harness.apply_list(ListKind::Complete, vec![entry(0)]);
         harness.advance(500 * MS);
--- a/crates/dispatcher/tests/scenarios/final_answer.rs
+++ b/crates/dispatcher/tests/scenarios/final_answer.rs
@@ -81,8 +81,8 @@
 fn an_attempt_that_has_not_started_when_it_can_only_be_late_is_cancelled() {
     // Late jobs kept the workers' queues full, and all behind them were late too (i2e3120).
     let is_cancelled = |late_weight_share: f64, started: bool| {
-        let c = Class { late_weight_share, ..class(Idempotency::NonIdempotent) };
-        let mut harness = Harness::with_open_workers(settings(vec![c]), vec![entry(0), entry(1)], 4.0);
+        let class = Class { late_weight_share, ..class(Idempotency::NonIdempotent) };
+        let mut harness = Harness::with_open_workers(settings(vec![class]), vec![entry(0), entry(1)], 4.0);
         harness.submit(0);
         if started {
             harness.handle(Event::Progress { request: RequestId(0), attempt: 0 });
--- a/crates/dispatcher/tests/scenarios/idempotency.rs
+++ b/crates/dispatcher/tests/scenarios/idempotency.rs
@@ -64,10 +64,10 @@
 
 #[test]
 fn a_keyed_request_is_not_sent_again_after_its_window() {
-    let mut c = class(Idempotency::IdempotentWithKey(DeduplicationScope::Zone));
-    c.deduplication_window = 50 * MS;
-    c.late_weight_share = 0.5;
-    let mut harness = Harness::with_open_workers(settings(vec![c]), vec![entry(0), entry(1)], 4.0);
+    let mut class = class(Idempotency::IdempotentWithKey(DeduplicationScope::Zone));
+    class.deduplication_window = 50 * MS;
+    class.late_weight_share = 0.5;
+    let mut harness = Harness::with_open_workers(settings(vec![class]), vec![entry(0), entry(1)], 4.0);
     harness.submit(0);
     harness.advance(60 * MS);
     harness.end_attempt(0, 0, Outcome::Error);
@@ -79,9 +79,9 @@
 #[test]
 fn a_repeat_must_be_written_a_connect_timeout_before_the_end_of_the_window() {
     for (window, margin) in [(10 * S, 200 * MS), (400 * MS, 100 * MS)] {
-        let mut c = class(Idempotency::IdempotentWithKey(DeduplicationScope::Cell));
-        c.deduplication_window = window;
-        let mut harness = Harness::with_open_workers(settings(vec![c]), vec![entry(0), entry(1)], 4.0);
+        let mut class = class(Idempotency::IdempotentWithKey(DeduplicationScope::Cell));
+        class.deduplication_window = window;
+        let mut harness = Harness::with_open_workers(settings(vec![class]), vec![entry(0), entry(1)], 4.0);
         harness.submit(0);
         harness.advance(50 * MS);
         harness.end_attempt(0, 0, Outcome::Reset);
@@ -93,9 +93,9 @@
 
 #[test]
 fn a_held_request_that_may_have_run_fails_once_its_window_is_over() {
-    let mut c = class(Idempotency::IdempotentWithKey(DeduplicationScope::Cell));
-    (c.deduplication_window, c.latency_objective, c.late_weight_share) = (S, 4 * S, 0.5);
-    let mut harness = Harness::with_open_workers(settings(vec![c]), vec![entry(0)], 4.0);
+    let mut class = class(Idempotency::IdempotentWithKey(DeduplicationScope::Cell));
+    (class.deduplication_window, class.latency_objective, class.late_weight_share) = (S, 4 * S, 0.5);
+    let mut harness = Harness::with_open_workers(settings(vec![class]), vec![entry(0)], 4.0);
     harness.submit(0);
     harness.end_attempt(0, 0, Outcome::Reset);
     harness.advance(700 * MS);
@@ -108,9 +108,9 @@
 fn a_worker_that_has_changed_its_cell_since_an_attempt_gets_no_repeat_in_either_cell() {
     // Its name has been taken over, or the earlier list was out of date: which of the two cells ran it is not
     // known.
-    let c = class(Idempotency::IdempotentWithKey(DeduplicationScope::Cell));
+    let class = class(Idempotency::IdempotentWithKey(DeduplicationScope::Cell));
     let at = |worker: u32, cell: u32| WorkerEntry { cell, ..entry(worker) };
-    let mut harness = Harness::with_open_workers(settings(vec![c]), vec![at(0, 1)], 4.0);
+    let mut harness = Harness::with_open_workers(settings(vec![class]), vec![at(0, 1)], 4.0);
     harness.submit(0);
     harness.report = Some(free(4.0));
     harness.apply_list(ListKind::Complete, vec![at(0, 2), at(1, 1), at(2, 2)]);
@@ -122,10 +122,10 @@
 
 #[test]
 fn attempts_stay_within_the_limit_and_never_overlap_where_that_is_not_allowed() {
-    let mut s = settings(vec![class(Idempotency::Idempotent)]);
-    s.allows_hedging = false;
-    s.max_attempts = 2;
-    let mut harness = Harness::with_open_workers(s, (0..6).map(entry).collect(), 4.0);
+    let mut settings = settings(vec![class(Idempotency::Idempotent)]);
+    settings.allows_hedging = false;
+    settings.max_attempts = 2;
+    let mut harness = Harness::with_open_workers(settings, (0..6).map(entry).collect(), 4.0);
     harness.submit(0);
     harness.end_attempt(0, 0, Outcome::Rejected);
     harness.end_attempt(0, 1, Outcome::Rejected);
--- a/crates/dispatcher/tests/scenarios/membership.rs
+++ b/crates/dispatcher/tests/scenarios/membership.rs
@@ -37,9 +37,9 @@
 
 #[test]
 fn it_subscribes_at_its_start_where_that_is_required_and_again_after_a_failure() {
-    let mut s = settings(vec![class(Idempotency::Idempotent)]);
-    s.requires_subscription = true;
-    let mut harness = Harness::new(s);
+    let mut settings = settings(vec![class(Idempotency::Idempotent)]);
+    settings.requires_subscription = true;
+    let mut harness = Harness::new(settings);
     harness.apply_list(ListKind::Cached, vec![entry(0)]);
     assert!(harness.take_actions().contains(&Action::Subscribe));
     for _ in 0..8 {
@@ -55,9 +55,9 @@
     // A dispatcher must act on a change within 6 s of when the list service had it and could be reached; the
     // backoff is a part of that.
     for (dispatchers, most) in [(2, 780 * MS), (30, 1_200 * MS), (80, 1_950 * MS)] {
-        let mut s = Settings { dispatchers, ..settings(vec![class(Idempotency::Idempotent)]) };
-        (s.requires_subscription, s.limits.unsubscribed_list_validity) = (true, 40 * S);
-        let mut harness = Harness::new(s);
+        let mut settings = Settings { dispatchers, ..settings(vec![class(Idempotency::Idempotent)]) };
+        (settings.requires_subscription, settings.limits.unsubscribed_list_validity) = (true, 40 * S);
+        let mut harness = Harness::new(settings);
         harness.apply_list(ListKind::Cached, vec![entry(0)]);
         for _ in 0..40 {
             harness.take_actions();
--- a/crates/dispatcher/tests/scenarios/priority.rs
+++ b/crates/dispatcher/tests/scenarios/priority.rs
@@ -6,9 +6,9 @@
 
 #[test]
 fn work_over_its_quota_leaves_slots_for_work_within() {
-    let mut s = settings(vec![class(Idempotency::Idempotent)]);
-    s.tenants = vec![Tenant { quota_per_s: 2.0 }, Tenant { quota_per_s: 50.0 }];
-    let mut harness = Harness::with_open_workers(s, vec![entry(0)], 8.0);
+    let mut settings = settings(vec![class(Idempotency::Idempotent)]);
+    settings.tenants = vec![Tenant { quota_per_s: 2.0 }, Tenant { quota_per_s: 50.0 }];
+    let mut harness = Harness::with_open_workers(settings, vec![entry(0)], 8.0);
     for id in 0..30 {
         harness.handle(Event::Request(Request { tenant: Some(0), ..request(id) }));
     }
@@ -19,9 +19,9 @@
 #[test]
 fn late_work_leaves_slots_for_work_in_time() {
     // Late work took every slot as it came free, and work in time found none (ia39c7e).
-    let mut c = class(Idempotency::Idempotent);
-    c.late_weight_share = 0.3;
-    let mut harness = Harness::with_open_workers(settings(vec![c]), vec![entry(0)], 2.0);
+    let mut class = class(Idempotency::Idempotent);
+    class.late_weight_share = 0.3;
+    let mut harness = Harness::with_open_workers(settings(vec![class]), vec![entry(0)], 2.0);
     for id in 0..3 {
         harness.submit(id);
     }
--- a/crates/dispatcher/tests/scenarios/stale_list.rs
+++ b/crates/dispatcher/tests/scenarios/stale_list.rs
@@ -134,9 +134,9 @@
 
 #[test]
 fn with_a_stale_list_and_no_probes_nothing_is_sent() {
-    let mut s = settings(vec![class(Idempotency::Idempotent)]);
-    s.can_probe = false;
-    let mut harness = Harness::new(s);
+    let mut settings = settings(vec![class(Idempotency::Idempotent)]);
+    settings.can_probe = false;
+    let mut harness = Harness::new(settings);
     harness.apply_list(ListKind::Complete, vec![entry(0)]);
     harness.apply_list(ListKind::Stale, vec![]);
     harness.submit(0);
--- a/crates/dispatcher/tests/slow_start_fleet/main.rs
+++ b/crates/dispatcher/tests/slow_start_fleet/main.rs
@@ -10,7 +10,7 @@
 //! work. Each window that begins with a call is judged by the capacity at its beginning, when it is least. A
 //! figure is `(calls - N) / (2 * sqrt(N) + 2)`, and must not be above 1.
 //!
-//! One seed and three sizes of each case run by default. The whole table, with a hundred seeds of each:
+//! One seed and four sizes of each case run by default. The whole table, with a hundred seeds of each:
 //! `SLOW_START_FLEET_SEEDS=100 SLOW_START_FLEET_SIZES=2,5,20,30,100,300 cargo test -p nickelflow-dispatcher
 //! --test slow_start_fleet -- --nocapture --test-threads 3`; `SLOW_START_FLEET_SEEDS=50,100` are the seeds
 //! from 50 to 99. Each line is: deployment, load, keys, dispatchers, traffic, dispatchers that change; the
