--- a/crates/daemon/src/acceptor.rs
+++ b/crates/daemon/src/acceptor.rs
@@ -281,7 +281,14 @@
         .max_buf_size(LARGEST_HEAD)
         .header_read_timeout(None)
         .serve_connection(TokioIo::new(client_stream.clone()), TowerToHyperService::new(handler));
-    let reason = drive(&mut connection, &client_stream, &client_connection, &shutdown).await;
+    // Lives until the function returns: dropped earlier, it would leave its notification to the select below.
+    let mut end_requested = pin!(async {
+        tokio::select! {
+            () = client_connection.shed.notified() => {}
+            () = shutdown.closing() => {}
+        }
+    });
+    let reason = drive(&mut connection, &client_stream, &client_connection, end_requested.as_mut()).await;
     check_close(&client_connection, reason, &counters);
     // Dropping it cancels the job that it was serving.
     drop(connection);
@@ -299,14 +306,8 @@
     connection: &mut HttpConnection,
     client_stream: &ClientStream,
     client_connection: &ClientConnection,
-    shutdown: &Shutdown,
+    mut end_requested: Pin<&mut impl Future<Output = ()>>,
 ) -> CloseReason {
-    let mut end_requested = pin!(async {
-        tokio::select! {
-            () = client_connection.shed.notified() => {}
-            () = shutdown.closing() => {}
-        }
-    });
     let (mut end_requested_at, mut closing) = (None, false);
     let mut timer = pin!(sleep_until(Instant::now().into()));
     poll_fn(|cx| {
