--- a/crates/control-plane/src/lease_client.rs
+++ b/crates/control-plane/src/lease_client.rs
@@ -233,6 +233,7 @@
     /// it, or it starts again under its name.
     pub async fn leave(&self, limit: Duration, attempt: Duration) {
         let request = PeerRequest::Command(Command::Leave(self.name.clone()));
+        // Cancelled in the middle of an attempt, the leave may be committed all the same, which does no harm.
         let left = tokio::time::timeout(limit, async {
             while !matches!(self.ask_leader(&request, attempt).await, Ok(PeerResponse::Applied(_))) {
                 tokio::time::sleep(RETRY_DELAY).await;
--- a/crates/control-plane/src/peer_error.rs
+++ b/crates/control-plane/src/peer_error.rs
@@ -30,7 +30,7 @@
     /// Another process has taken the name of the one that asks.
     #[error("another process has taken this one's name")]
     NameTaken,
-    /// The document has more than [`MAX_DOCUMENT_BYTES`].
+    /// The document has more than `MAX_DOCUMENT_BYTES`.
     #[error("the document is larger than {MAX_DOCUMENT_BYTES} bytes")]
     DocumentTooLarge,
     /// The lease duration of the one that asks is not this one's, which is given in milliseconds.
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peers.rs
@@ -42,7 +42,7 @@
         /// How long it was given.
         limit: Duration,
     },
-    /// The request is larger than [`MAX_MESSAGE_BYTES`].
+    /// The request is larger than `MAX_MESSAGE_BYTES`.
     #[error("{address}: the message is too large")]
     TooLarge {
         /// The address of the peer.
--- a/crates/control-plane/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -30,6 +30,7 @@
     LeaseConfig::new(1_000_000_000, 200_000_000, 0.01).expect("sound times")
 }
 
+/// Parses a rules document.
 pub fn document(text: &str) -> RulesDocument {
     RulesDocument::parse(text).expect("a sound document")
 }
@@ -116,10 +117,12 @@
         self.ports.push(port);
     }
 
+    /// The data folder of a voter, which may not exist.
     pub fn data_dir(&self, id: u64) -> PathBuf {
         self.folder.path().join(id.to_string())
     }
 
+    /// The configuration of a scheduler of this fleet.
     pub fn config(&self, name: &str, voter: Option<VoterConfig>) -> ControlPlaneConfig {
         ControlPlaneConfig {
             fleet: self.name.clone(),
@@ -151,6 +154,7 @@
         start(self.config(name, None), listener).expect("it starts")
     }
 
+    /// Asks a voter, which must answer.
     pub async fn ask(&self, id: u64, request: &PeerRequest) -> PeerResponse {
         let peers = Peers::new(self.name.clone(), self.addresses.clone());
         peers.ask(&self.addresses[&id], request, REQUEST_TIMEOUT).await.expect("an answer")
@@ -170,6 +174,7 @@
         .await
     }
 
+    /// The cached proposals, the newest last.
     pub async fn history(&self) -> Vec<Proposal> {
         match self.ask_leader(&PeerRequest::History).await {
             PeerResponse::History(history) => history,
@@ -183,6 +188,7 @@
         self.propose_over(base, document).await
     }
 
+    /// Proposes a document over this proposal, which must be the newest.
     pub async fn propose_over(&self, base: u64, document: RulesDocument) -> u64 {
         match self.ask_leader(&PeerRequest::Command(Command::Propose { base, document })).await {
             PeerResponse::Applied(number) => number,
@@ -190,6 +196,7 @@
         }
     }
 
+    /// The status of a voter.
     pub async fn status(&self, id: u64) -> Status {
         match self.ask(id, &PeerRequest::Status).await {
             PeerResponse::Status(status) => *status,
