--- a/crates/rollout/tests/stored_bytes.rs
+++ b/crates/rollout/tests/stored_bytes.rs
@@ -159,16 +159,16 @@
     let mut checker = Checker::default();
     checker.check("version", &version());
     for (n, worker_state) in worker_states().iter().enumerate() {
-        checker.check(&format!("standing-{n}"), worker_state);
+        checker.check(&format!("worker-state-{n}"), worker_state);
     }
-    checker.check("careful", &degraded_rules());
+    checker.check("degraded-rules", &degraded_rules());
     checker.check("document", &document());
     checker.check("document-default", &RulesDocument::default());
     for (n, access) in worker_access().iter().enumerate() {
-        checker.check(&format!("use-{n}"), access);
+        checker.check(&format!("worker-access-{n}"), access);
     }
     for (n, placement) in key_placements().iter().enumerate() {
-        checker.check(&format!("places-{n}"), placement);
+        checker.check(&format!("key-placement-{n}"), placement);
     }
     checker.check("step", &step());
     for (n, error) in
@@ -176,21 +176,25 @@
             .iter()
             .enumerate()
     {
-        checker.check(&format!("refused-{n}"), error);
+        checker.check(&format!("command-error-{n}"), error);
     }
-    checker.check("decider-new", &RolloutState::new(document()));
-    checker.check("decider", &rollout_state());
-    checker
-        .check("request", &LeaseRequest { incarnation: 1_000_001, sequence: 302, acknowledged: version() });
+    checker.check("rollout-state-new", &RolloutState::new(document()));
+    checker.check("rollout-state", &rollout_state());
     checker.check(
-        "grant",
+        "lease-request",
+        &LeaseRequest { incarnation: 1_000_001, sequence: 302, acknowledged: version() },
+    );
+    checker.check(
+        "lease-grant",
         &LeaseGrant { incarnation: 1_000_001, sequence: 302, version: version(), step: Some(step()) },
     );
     checker.check(
-        "grant-renewal",
+        "lease-grant-renewal",
         &LeaseGrant { incarnation: 1_000_001, sequence: 302, version: version(), step: None },
     );
-    checker
-        .check("terms", &LeaseConfig::new(1_000_000_000, 200_000_000, 0.01).expect("a valid configuration"));
+    checker.check(
+        "lease-config",
+        &LeaseConfig::new(1_000_000_000, 200_000_000, 0.01).expect("a valid configuration"),
+    );
     checker.finish();
 }
