--- a/crates/daemon/src/acceptor.rs
+++ b/crates/daemon/src/acceptor.rs
@@ -1,5 +1,5 @@
-//! Accepting service clients, and the places that they hold: who is shed when places run short, what a
-//! client is told that does not get on, and how a connection is closed.
+//! Accepts clients and divides the connection slots among them: which connection is shed when slots run short, what a client
+//! is answered that makes no progress, and how a connection is closed.
 
 use std::collections::HashMap;
 use std::future::poll_fn;
@@ -27,16 +27,16 @@
 use crate::early_rejection::EarlyRejection;
 use crate::job_handler::JobHandler;
 use crate::listen::{is_shortage, BACKLOG};
-use crate::request_reader::{ClientStream, LARGEST_BODY, LARGEST_HEAD};
+use crate::request_reader::{ClientStream, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::shutdown::Shutdown;
 use crate::throttle::Throttle;
 use crate::violations;
 use crate::Descriptors;
 
-/// Accepting goes on this long after it failed: descriptors come free meanwhile.
+/// How long accepting pauses after it failed; descriptors come free meanwhile.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Clients may hold only so many connections for their requests, and some open one for each and let it stay:
-/// more than this part (1/n) of the places does not stay idle, or they could open no others.
+/// The share (1/n) of the slots that may stay idle. Clients have a limited number of connections, and some open one for each
+/// request and leave it idle: with more of them idle they could open no others.
 const IDLE_PART: usize = 4;
 /// Closed with input unread, a connection is reset, and the client may lose the answer that it has not read: so many bytes
 /// are still read.
@@ -52,7 +52,7 @@
 /// The slots for connections of clients.
 struct ConnectionSlots {
     max: usize,
-    /// Connections beyond these, while those that have been shed for them are closing.
+    /// The number of connections beyond `max`, while those that have been shed for them are closing.
     spare: usize,
     counters: SharedCounters,
     occupied: Mutex<OccupiedSlots>,
@@ -65,7 +65,7 @@
     connections: HashMap<u64, Arc<ClientConnection>>,
 }
 
-/// One place; dropped, it is free.
+/// A slot that is in use; dropping it frees the slot.
 struct ConnectionSlot {
     slots: Arc<ConnectionSlots>,
     number: u64,
@@ -87,30 +87,29 @@
         self.occupied().connections.len() >= self.max + self.spare
     }
 
-    /// A place for a newcomer, for which another may be told to go; `None` if all are in use.
+    /// Takes a slot for a new connection, for which another may be shed; `None` if all are in use.
     fn take(self: &Arc<Self>, client_connection: &Arc<ClientConnection>) -> Option<ConnectionSlot> {
         let mut occupied = self.occupied();
         if occupied.connections.len() >= self.max + self.spare {
-            // Nor is another told to go for one that gets no place.
+            // None is shed for a connection that gets no slot.
             return None;
         }
         let idle = occupied
             .connections
             .values()
-            .filter_map(|client_connection| Some((client_connection.rank()?, client_connection)));
+            .filter_map(|client_connection| Some((client_connection.eviction_rank()?, client_connection)));
         let idle: Vec<_> = idle.filter(|((rank, _), _)| *rank == IDLE_RANK).collect();
         if idle.len() > self.max / IDLE_PART {
-            idle.iter().min_by_key(|(rank, _)| *rank)?.1.tell_to_end();
+            idle.iter().min_by_key(|(rank, _)| *rank)?.1.request_end();
             self.counters.shed.add();
         }
         let staying =
-            occupied.connections.values().filter(|client_connection| !client_connection.shedding()).count();
+            occupied.connections.values().filter(|client_connection| !client_connection.is_shed()).count();
         if staying >= self.max {
-            let ranked = occupied
-                .connections
-                .values()
-                .filter_map(|client_connection| Some((client_connection.rank()?, client_connection)));
-            ranked.min_by_key(|(rank, _)| *rank)?.1.tell_to_end();
+            let ranked = occupied.connections.values().filter_map(|client_connection| {
+                Some((client_connection.eviction_rank()?, client_connection))
+            });
+            ranked.min_by_key(|(rank, _)| *rank)?.1.request_end();
             self.counters.shed.add();
         }
         let number = occupied.next;
@@ -126,7 +125,7 @@
     }
 }
 
-/// Accepts client connections until the shutdown has closed the door; returns when all have ended.
+/// Accepts client connections until the shutdown closes the listener; returns when all connections have ended.
 pub async fn serve(listener: TcpListener, handler: JobHandler, descriptors: Descriptors) {
     let slots = Arc::new(ConnectionSlots {
         max: descriptors.clients,
@@ -208,11 +207,11 @@
     }
 }
 
-/// Finds a place for a new client, or turns it away.
+/// Finds a slot for a new client, or rejects it.
 async fn admit(stream: TcpStream, handler: &JobHandler, slots: &Arc<ConnectionSlots>) {
     handler.counters.accepted.add();
     let _ = stream.set_nodelay(true);
-    let client_connection = ClientConnection::begin();
+    let client_connection = ClientConnection::new();
     if slots.crowded() {
         // Those that have been shed get to close first.
         tokio::task::yield_now().await;
@@ -225,15 +224,15 @@
         ))),
         None => {
             handler.counters.turned_away.add();
-            turn_away(stream);
+            reject_connection(stream);
             // What is under way goes before those that come again at once.
             tokio::task::yield_now().await;
         }
     }
 }
 
-/// Tells a client that there is no place for it, and closes.
-fn turn_away(stream: TcpStream) {
+/// Answers a client that there is no slot for it, and closes the connection.
+fn reject_connection(stream: TcpStream) {
     // Not by its readiness: of a connection that was accepted just now nothing is known yet.
     let Ok(mut stream) = stream.into_std() else { return };
     // All of it: a request that is read below and answered in part would be lost.
@@ -241,7 +240,7 @@
         return;
     }
     // Closed over its unread request, the connection is reset, and the answer may go with it.
-    let mut left = LARGEST_HEAD + LARGEST_BODY as usize;
+    let mut left = MAX_HEAD_BYTES + MAX_BODY_BYTES as usize;
     let mut space = [0; 8 << 10];
     while left > 0 {
         match stream.read(&mut space) {
@@ -262,7 +261,7 @@
     LastAnswer,
     /// The client took too long over a request or an answer, or had nothing to ask for too long.
     TooSlow,
-    /// Another needed its place.
+    /// Another client needed its slot.
     Shed,
     /// The program ends.
     Ending,
@@ -278,7 +277,7 @@
     debug!(client = client_connection.number, peer = ?stream.peer_addr().ok(), "client accepted");
     let client_stream = ClientStream::new(stream, client_connection.clone());
     let mut connection = http1::Builder::new()
-        .max_buf_size(LARGEST_HEAD)
+        .max_buf_size(MAX_HEAD_BYTES)
         .header_read_timeout(None)
         .serve_connection(TokioIo::new(client_stream.clone()), TowerToHyperService::new(handler));
     // Lives until the function returns: dropped earlier, it would leave its notification to the select below.
@@ -328,16 +327,16 @@
         if end_requested_at.is_none() && end_requested.as_mut().poll(cx).is_ready() {
             end_requested_at = Some(Instant::now());
         }
-        if client_connection.shedding() && client_connection.idle() {
+        if client_connection.is_shed() && client_connection.is_idle() {
             return Poll::Ready(CloseReason::Shed);
         }
         // hyper has not seen a partial head and takes the connection for idle.
-        if end_requested_at.is_some() && !closing && !client_connection.half() {
+        if end_requested_at.is_some() && !closing && !client_connection.has_partial_request() {
             closing = true;
             Pin::new(&mut *connection).graceful_shutdown();
             cx.waker().wake_by_ref();
         }
-        let Some(due) = client_connection.due(end_requested_at) else { return Poll::Pending };
+        let Some(due) = client_connection.deadline(end_requested_at) else { return Poll::Pending };
         if timer.deadline() != due.into() {
             timer.as_mut().reset(due.into());
         }
@@ -350,11 +349,11 @@
 fn check_close(client_connection: &ClientConnection, reason: CloseReason, counters: &SharedCounters) {
     let request = client_connection.request();
     let facts = CloseFacts {
-        has_unanswered_request: client_connection.busy(),
+        has_unanswered_request: client_connection.is_busy(),
         // It is answered when the connection is closed.
         has_partial_request: false,
         // A client that does not read has had its time.
-        has_unwritten_response: client_connection.stuck() && reason == CloseReason::Shed,
+        has_unwritten_response: client_connection.has_unwritten_response() && reason == CloseReason::Shed,
         client_disconnected: reason == CloseReason::ClientLeft,
     };
     debug!(client = client_connection.number, ?reason, unanswered = ?request, "client closed");
@@ -372,10 +371,10 @@
     counters: &SharedCounters,
 ) -> io::Result<()> {
     let is_late = matches!(reason, CloseReason::Shed | CloseReason::TooSlow);
-    let rejection = match (is_late, client_connection.half()) {
-        (true, true) if client_connection.shedding() => Some(TOO_MANY_CONNECTIONS),
+    let rejection = match (is_late, client_connection.has_partial_request()) {
+        (true, true) if client_connection.is_shed() => Some(TOO_MANY_CONNECTIONS),
         (true, true) => Some(TOO_SLOW),
-        _ => client_connection.refusal(),
+        _ => client_connection.rejection(),
     };
     if let Some(rejection) = rejection {
         counters.rejected.add();
@@ -385,7 +384,7 @@
     }
     client_stream.shutdown().await?;
     // Another client waits for the slot of a connection that is shed.
-    let mut left = if client_connection.shedding() { 0 } else { MAX_DISCARDED_BYTES };
+    let mut left = if client_connection.is_shed() { 0 } else { MAX_DISCARDED_BYTES };
     while left > 0 {
         match poll_fn(|cx| client_stream.poll_discard(cx)).await? {
             0 => break,
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts at workers, over pooled connections; and probes.
+//! Attempts and probes of workers, over pooled connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 use crate::worker_pool::{settled, CheckedOutConnection, ConnectionPreference, WorkerPool};
 use crate::write_guard::{ClientPresence, WriteGuard, HEAD_AGE};
 
-/// What passes on unchanged, as the bytes that came, and the client that it is from.
+/// What is forwarded unchanged from a client's request, and the client that sent it.
 pub struct ForwardedRequest {
     /// The method of the client's request.
     pub method: Method,
@@ -60,7 +60,7 @@
 /// How often an attempt is written anew whose head has grown old before its first byte.
 const MAX_REWRITES: u32 = 3;
 
-/// The workers' side of the scheduler: its connections to all of them.
+/// The scheduler's client of all workers.
 pub struct WorkerClient {
     pool: WorkerPool,
     worker_connections: WorkerConnectionConfig,
@@ -68,7 +68,7 @@
     queue: mpsc::UnboundedSender<Event<ForwardedRequest>>,
 }
 
-/// What is to be known of one attempt.
+/// The parameters of one attempt.
 struct Attempt {
     id: AttemptId,
     address: SocketAddr,
@@ -177,7 +177,7 @@
         let made = Attempt { id, address, deadline, stop: stop.clone(), rules_lease, send_by, retry_safety };
         let mut trace = AttemptTrace::default();
         let FinishedAttempt { result, unread } = tokio::select! {
-            // An end that crosses the cancel counts: what it tells is known.
+            // An end that crosses the cancellation counts.
             biased;
             done = self.attempt(&made, &request, &mut trace) => done,
             () = stopped(stop, StopLevel::Immediate) => FinishedAttempt::without_response(Outcome::Cancelled),
@@ -419,9 +419,9 @@
     HeaderValue::try_from(address.to_string()).unwrap_or_else(|_| HeaderValue::from_static("instance"))
 }
 
-/// What an attempt may tell its worker of the time that is left: the head may grow as old as [`HEAD_AGE`] before it is
+/// Returns the remaining time that an attempt announces to its worker: its head may grow as old as [`HEAD_AGE`] before it is
 /// written. Of less than twice that, half.
-fn time_told(left: Duration) -> Duration {
+fn announced_time_left(left: Duration) -> Duration {
     left.saturating_sub(HEAD_AGE).max(left / 2)
 }
 
@@ -435,9 +435,9 @@
         headers.insert("request-id", self.request_id.clone());
         headers.extend(self.headers.iter().cloned());
         headers.extend(attempt.rules_lease.as_ref().map(|rules_lease| (RULES, rules_lease.version.clone())));
-        let told = time_told(attempt.deadline.saturating_duration_since(now)).as_secs_f64();
-        if let Ok(told) = HeaderValue::try_from(format!("{told:.3}")) {
-            headers.insert("request-timeout", told);
+        let time_left = announced_time_left(attempt.deadline.saturating_duration_since(now)).as_secs_f64();
+        if let Ok(time_left) = HeaderValue::try_from(format!("{time_left:.3}")) {
+            headers.insert("request-timeout", time_left);
         }
         headers.insert(CONTENT_LENGTH, HeaderValue::from(self.body.len()));
         request
--- a/crates/daemon/src/client_connection.rs
+++ b/crates/daemon/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! What is known of one client's connection, for its stream, the service behind it, and the front.
+//! The state of one client's connection, which its stream, its request handler and the acceptor share.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError, Weak};
@@ -10,21 +10,21 @@
 
 use crate::early_rejection::EarlyRejection;
 
-/// For how long a client may take over a request, from its first byte or, for the first, from connecting:
-/// one that does not get on is owed an error or a close within 3 s of connecting.
+/// How long a client may take over a request, from its first byte or, for the first request, from connecting: a client that
+/// does not make progress must get an error or a close within 3 s of connecting.
 pub const WHOLE: Duration = Duration::from_millis(2500);
-/// For how long a client may stay between requests.
+/// How long a connection may be idle between requests.
 const IDLE: Duration = Duration::from_secs(75);
-/// A newcomer gets this long to bring its first request before it counts as one that says nothing.
+/// How long a new connection has for its first request before it counts as one that brings none.
 const NEW: Duration = Duration::from_millis(100);
-/// The rank of those that have brought a job and are between two.
+/// The rank of connections that have brought a job and are idle.
 pub const IDLE_RANK: u8 = 1;
-/// For how long a connection that is to end may still bring the rest of a head.
+/// How long the rest of a head may take to come on a connection that is to end.
 pub const LAST_HEAD: Duration = Duration::from_millis(200);
-/// For how long a client may take over reading an answer where its connection is to end with it: from the close of
-/// the door to the end of a planned end.
+/// How long a client may take to read an answer with which its connection is to end: from the close of the listener to the
+/// end of a graceful shutdown.
 const TAKING: Duration = Duration::from_millis(700);
-/// For how long hyper may take to be done after the last answer.
+/// How long hyper may take to finish after the last answer.
 const CLOSING: Duration = Duration::from_millis(200);
 
 /// Checks a client's socket for its disconnection.
@@ -35,42 +35,47 @@
 
 /// The state of one client's connection, shared by its stream, its request handler and the acceptor.
 pub struct ClientConnection {
-    /// Its own number, for logs.
+    /// The number of the connection, for logs.
     pub number: u64,
     began: Instant,
     disconnect_check: OnceLock<Weak<dyn DisconnectCheck>>,
     state: Mutex<ConnectionState>,
-    /// Told to end, so that another finds a place.
+    /// Notified when the connection is to end for another client.
     pub shed: Notify,
 }
 
 pub(crate) struct ConnectionState {
-    /// Since when a request has been coming in that is not whole yet.
+    /// Since when a request has been coming in that is not complete yet.
     pub(crate) reading: Option<Instant>,
-    /// Whether any byte of it has come.
+    /// A byte of that request has come.
     pub(crate) begun: bool,
-    /// Whether a call is under way.
+    /// A call of the service is under way.
     pub(crate) busy: bool,
-    /// Whether all of a request has come to which there is no answer yet.
+    /// All of a request has come that has no answer yet.
     pub(crate) passed: bool,
-    /// Whether part of an answer is not written yet, for its client does not read.
+    /// Part of an answer is not written yet, because the client does not read.
     pub(crate) stuck: bool,
-    /// Reads on once there is an answer.
+    /// Wakes the stream's reader once there is an answer.
     pub(crate) reader: Option<Waker>,
+    /// When the connection was last in use.
     pub(crate) idle_since: Instant,
-    /// Whether it has ever brought a request, and one that was a job.
+    /// The connection has brought a request.
     asked: bool,
+    /// The connection has brought a job.
     proven: bool,
+    /// The connection is to end for another client.
     shedding: bool,
     /// Nothing behind the present request is read.
     pub(crate) last: bool,
-    pub(crate) refusal: Option<EarlyRejection>,
+    /// Why the present request is rejected by its bytes.
+    pub(crate) rejection: Option<EarlyRejection>,
     /// The id of the request that is being served.
     request: Option<HeaderValue>,
 }
 
 impl ClientConnection {
-    pub fn begin() -> Arc<ClientConnection> {
+    /// Creates the state of a connection that was accepted now.
+    pub fn new() -> Arc<ClientConnection> {
         let began = Instant::now();
         let state = ConnectionState {
             reading: Some(began),
@@ -84,7 +89,7 @@
             proven: false,
             shedding: false,
             last: false,
-            refusal: None,
+            rejection: None,
             request: None,
         };
         static NUMBERS: AtomicU64 = AtomicU64::new(0);
@@ -118,89 +123,93 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A call on it is under way until what this gives is dropped.
-    pub fn call(self: &Arc<Self>) -> ActiveCall {
+    /// Begins a call of the service; it is under way until the returned value is dropped.
+    pub fn begin_call(self: &Arc<Self>) -> ActiveCall {
         let mut state = self.state();
         (state.busy, state.asked) = (true, true);
         drop(state);
         ActiveCall(self.clone())
     }
 
-    /// It has brought a job of this id, which is being handed in.
-    pub fn prove(&self, request: &HeaderValue) {
+    /// Notes that the present request is a job with this id, which is being submitted.
+    pub fn begin_job(&self, request: &HeaderValue) {
         let mut state = self.state();
         (state.proven, state.passed) = (true, true);
         state.request = Some(request.clone());
     }
 
-    /// The id of the request that is being served.
+    /// Returns the id of the request that is being served.
     pub fn request(&self) -> Option<HeaderValue> {
         self.state().request.clone()
     }
 
-    /// Whether part of an answer is not written yet.
-    pub fn stuck(&self) -> bool {
+    /// Returns whether part of an answer is not written yet.
+    pub fn has_unwritten_response(&self) -> bool {
         self.state().stuck
     }
 
-    pub fn busy(&self) -> bool {
+    /// Returns whether a call of the service is under way.
+    pub fn is_busy(&self) -> bool {
         self.state().busy
     }
 
-    /// Whether it has nothing to do for its client: no call is under way, and the last answer is written.
-    pub fn idle(&self) -> bool {
+    /// Returns whether no call is under way and the last answer is written.
+    pub fn is_idle(&self) -> bool {
         let state = self.state();
         !state.busy && !state.stuck
     }
 
-    /// Whether all of the present request has come.
-    pub fn whole(&self) -> bool {
+    /// Returns whether all of the present request has come.
+    pub fn is_request_complete(&self) -> bool {
         self.state().reading.is_none()
     }
 
-    /// Whether part of a request has come that is not under way.
-    pub fn half(&self) -> bool {
+    /// Returns whether part of a request has come for which no call is under way.
+    pub fn has_partial_request(&self) -> bool {
         let state = self.state();
         !state.busy && state.reading.is_some() && state.begun
     }
 
-    /// Takes note of the answer to the present request; whether the connection must end with it.
-    pub fn answered(&self) -> bool {
+    /// Notes that the present request is answered, and returns whether the connection must end with the answer.
+    pub fn finish_request(&self) -> bool {
         let mut state = self.state();
         state.last |= state.reading.is_some();
         (state.reading, state.begun) = (None, false);
         state.last
     }
 
-    pub fn refusal(&self) -> Option<EarlyRejection> {
-        self.state().refusal
+    /// Returns why the present request is rejected by its bytes, if it is.
+    pub fn rejection(&self) -> Option<EarlyRejection> {
+        self.state().rejection
     }
 
-    /// When the present request must be whole.
-    pub fn whole_by(&self) -> Instant {
+    /// Returns when the present request must be complete.
+    pub fn request_deadline(&self) -> Instant {
         self.state().reading.unwrap_or(self.began) + WHOLE
     }
 
-    /// When the client has taken too long, as things stand; `None` while the program is the one to act. `told`:
-    /// since when the connection is to end.
-    pub fn due(&self, told: Option<Instant>) -> Option<Instant> {
+    /// Returns when the client will have taken too long; `None` while the program is the one to act. `end_requested_at` is
+    /// the time since which the connection is to end.
+    pub fn deadline(&self, end_requested_at: Option<Instant>) -> Option<Instant> {
         let state = self.state();
         if state.busy {
             return None;
         }
         if state.stuck {
-            let taken = |told: Instant| (told + TAKING).max(state.idle_since + CLOSING);
-            return Some(told.map_or(state.idle_since + IDLE, taken));
+            let taken =
+                |end_requested_at: Instant| (end_requested_at + TAKING).max(state.idle_since + CLOSING);
+            return Some(end_requested_at.map_or(state.idle_since + IDLE, taken));
         }
         let from_idle = state.idle_since + if state.last { CLOSING } else { IDLE };
         let due = state.reading.map_or(from_idle, |since| since + WHOLE);
-        Some(told.map_or(due, |told| due.min(told + LAST_HEAD)))
+        Some(end_requested_at.map_or(due, |end_requested_at| due.min(end_requested_at + LAST_HEAD)))
     }
 
-    /// The least comes first to be shed: whoever never brought a job, then who has been idle longest, and
-    /// last a newcomer, whose first request may be on its way and would be lost; others repeat one that
-    /// crosses the close. `None` while a call is under way, its answer is not written, or it has been told already.
-    pub fn rank(&self) -> Option<(u8, Instant)> {
+    /// Returns the order in which connections are shed, the lowest first: those that never brought a job, then those that
+    /// have been idle longest, and last new ones, whose first request may be on its way and would be lost; clients retry a
+    /// later request that crosses the close. `None` while a call is under way, its answer is not written, or the connection
+    /// is being shed already.
+    pub fn eviction_rank(&self) -> Option<(u8, Instant)> {
         let state = self.state();
         let new = !state.asked && self.began.elapsed() < NEW;
         let rank = match state.proven {
@@ -210,17 +219,19 @@
         (!state.busy && !state.stuck && !state.shedding).then_some(rank)
     }
 
-    pub fn shedding(&self) -> bool {
+    /// Returns whether the connection is to end for another client.
+    pub fn is_shed(&self) -> bool {
         self.state().shedding
     }
 
-    pub fn tell_to_end(&self) {
+    /// Requests that the connection ends for another client.
+    pub fn request_end(&self) {
         self.state().shedding = true;
         self.shed.notify_one();
     }
 }
 
-/// One call under way on a connection.
+/// A call of the service that is under way; dropping it ends the call.
 pub struct ActiveCall(Arc<ClientConnection>);
 
 impl Drop for ActiveCall {
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -27,16 +27,17 @@
 
 /// Discovery writes at least an empty line this often.
 const HEARTBEAT: Duration = Duration::from_secs(2);
-/// A change counts as told this long after discovery had it and could be reached, whatever came of the calls.
-pub const TOLD: Duration = Duration::from_secs(6);
-/// The list is taken for stale this much sooner, so that the core is told in time also where it gets little of a core.
+/// A scheduler counts as notified of a change this long after discovery had it and could be reached, whatever became of the
+/// calls.
+pub const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
+/// The list counts as stale this much sooner, so that the scheduler loop is notified in time also on a busy processor.
 const STALE_MARGIN: Duration = Duration::from_millis(500);
 /// A call unanswered for this long may be lost; and for this much longer for each scheduler that may have asked
 /// before it. Discovery handles calls in turn, those that nobody waits for any more too, and takes [`WatchTiming::CALL`] for
 /// each: what all ask again in that time is less than it works off.
 const ANSWER: Duration = Duration::from_secs(1);
 const ANSWER_EACH: Duration = Duration::from_millis(80);
-/// While a call waits, a bare connection tells now and then whether discovery can still be reached. It adds nothing to
+/// While a call waits, a bare connection shows now and then whether discovery can still be reached. It adds nothing to
 /// the calls that wait there. So often, and this much more rarely for each scheduler that does the same; a few
 /// schedulers have made the call once more by then.
 const REACH: Duration = Duration::from_millis(1500);
@@ -47,7 +48,7 @@
 /// The shortest pause after a call that failed at discovery, which is down or has too many callers. One that had
 /// waited there comes back as much later.
 const FAILED: Duration = Duration::from_millis(500);
-/// After a move of discovery what it has to tell counts as told 4 s later. The watch at the new address is
+/// After a move of discovery a scheduler counts as notified of its changes 4 s later. The watch at the new address is
 /// begun at once, and for this long it is begun again after a short pause, also after calls that failed.
 const MOVING: Duration = Duration::from_secs(4);
 const MAX_LINE_BYTES: usize = 4 << 20;
@@ -55,12 +56,12 @@
 /// How lists come, and the times that follow from it.
 #[derive(Clone, Copy)]
 pub struct WatchTiming {
-    /// Lists are pushed to an agent beside the scheduler: what it has counts as told at once, and asking it
-    /// costs nothing. Otherwise all schedulers ask one service.
+    /// Lists are pushed to an agent beside the scheduler: the scheduler counts as notified of what the agent has at once,
+    /// and calls to it cost nothing. Otherwise all schedulers call one service.
     pub pushed: bool,
     /// How many may ask discovery at once.
     pub schedulers: u32,
-    /// How long after a scheduler was told of it nothing must go to an instance that leaves.
+    /// How long after a scheduler was notified that a worker drains it may still send to it.
     pub grace: Duration,
 }
 
@@ -71,7 +72,7 @@
     /// A watch that has been silent for this long is dead. A quarter of what is left after a missed heartbeat
     /// is for one that is late; the rest is for a new watch to be answered in.
     pub fn silent(&self) -> Duration {
-        HEARTBEAT + (TOLD - HEARTBEAT) / 4
+        HEARTBEAT + (MAX_NOTIFICATION_DELAY - HEARTBEAT) / 4
     }
 
     /// A connection that is not up by then will not come up.
@@ -92,9 +93,9 @@
         REACH + REACH_EACH.saturating_mul(self.schedulers).min(SPREAD)
     }
 
-    /// How long after it was surely current a list may lack what counts as told.
+    /// Returns how long after it was surely current a list may lack changes of which the scheduler counts as notified.
     pub fn stale(&self) -> Duration {
-        TOLD - STALE_MARGIN
+        MAX_NOTIFICATION_DELAY - STALE_MARGIN
     }
 
     /// From a watch that ended to the next one.
@@ -175,12 +176,12 @@
     json::decode(line).is_ok_and(|value| Field::root(&value).get("endpoints").is_ok())
 }
 
-/// How a watch was lost.
+/// How a watch ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WatchEnd {
     /// No connection comes up: discovery has not heard of the call, or is cut off from it.
     Unreached,
-    /// Nothing was heard any more, or ever: what it misses counts as told all the same.
+    /// Nothing was received any more, or ever; the scheduler counts as notified of what it misses all the same.
     Silent,
     /// It had lasted, and was ended.
     Ended,
@@ -191,7 +192,7 @@
     },
 }
 
-/// Up to when the list surely has all that counts as told.
+/// The time up to which the list surely has every change of which the scheduler counts as notified.
 struct ListFreshness {
     at: watch::Sender<Instant>,
     /// Nothing was reached since: what discovery has had in the meantime could not be asked for.
@@ -199,8 +200,8 @@
 }
 
 impl ListFreshness {
-    /// Discovery has told all it had.
-    fn told(&mut self) {
+    /// Discovery has sent all it had.
+    fn received(&mut self) {
         self.at.send_replace(Instant::now());
         self.out_of_reach = true;
     }
@@ -217,20 +218,20 @@
         }
     }
 
-    /// What it has to tell counts as told sooner.
+    /// Discovery has moved, so that the scheduler counts as notified sooner.
     fn moved(&mut self) {
-        let at = Instant::now().checked_sub(TOLD - MOVING);
+        let at = Instant::now().checked_sub(MAX_NOTIFICATION_DELAY - MOVING);
         self.at.send_modify(|now| *now = at.map_or(*now, |at| at.min(*now)));
     }
 }
 
-/// Tells the module when the list may be stale, and when it no longer is; until the core has ended.
+/// Notifies the scheduler loop when the list may be stale and when it is current again, until the loop has ended.
 async fn watch_age<P>(
     queue: mpsc::UnboundedSender<Event<P>>,
     stale: Duration,
     mut current: watch::Receiver<Instant>,
 ) {
-    let tell = |kind| drop(queue.send(Event::WorkerList { kind, entries: vec![] }));
+    let notify = |kind| drop(queue.send(Event::WorkerList { kind, entries: vec![] }));
     loop {
         let lapses = *current.borrow_and_update() + stale;
         tokio::select! {
@@ -238,14 +239,14 @@
             changed = current.changed() => if changed.is_err() { return },
             () = tokio::time::sleep_until(lapses.into()) => {
                 warn!("the list may be stale");
-                tell(ListKind::Stale);
+                notify(ListKind::Stale);
                 while current.borrow_and_update().elapsed() >= stale {
                     if current.changed().await.is_err() {
                         return;
                     }
                 }
                 info!("the list is current");
-                tell(ListKind::Changes);
+                notify(ListKind::Changes);
             }
         }
     }
@@ -312,14 +313,14 @@
         let (queue, stale, pushed) = (self.queue.clone(), self.timing.stale(), self.timing.pushed);
         tokio::select! {
             () = self.keep(known, ListFreshness { at, out_of_reach: true }) => {}
-            // What an agent has counts as told at once, and what it has not does not.
+            // The scheduler counts as notified of what an agent has, and of nothing else.
             () = watch_age(queue, stale, age), if !pushed => {}
         }
     }
 
     async fn keep(mut self, known: EndpointList, mut current: ListFreshness) {
         let mut index = known.index;
-        self.tell(ListKind::Cached, known.entries);
+        self.send_list(ListKind::Cached, known.entries);
         let mut moved_at = None;
         if !self.timing.pushed {
             tokio::select! {
@@ -351,7 +352,7 @@
         }
     }
 
-    fn tell(&self, kind: ListKind, entries: Vec<WorkerEndpoint>) {
+    fn send_list(&self, kind: ListKind, entries: Vec<WorkerEndpoint>) {
         let _ = self.queue.send(Event::WorkerList { kind, entries });
     }
 
@@ -470,7 +471,7 @@
                 Ok(Some(list)) => list,
                 Ok(None) => {
                     if object.bytes.is_empty() {
-                        current.told();
+                        current.received();
                     }
                     continue;
                 }
@@ -484,8 +485,8 @@
             // Only a whole snapshot is complete: what else a list leaves out has not gone.
             let whole = list.snapshot && list.skipped.is_empty();
             let kind = if whole { ListKind::Complete } else { ListKind::Changes };
-            self.tell(kind, list.entries);
-            current.told();
+            self.send_list(kind, list.entries);
+            current.received();
         }
     }
 }
--- a/crates/daemon/src/interrupted.rs
+++ b/crates/daemon/src/interrupted.rs
@@ -1,9 +1,9 @@
-//! Calls that a signal has interrupted are made again: it tells nothing of the connection.
+//! Calls that a signal has interrupted are repeated: an interruption says nothing about the connection.
 
 use std::io;
 use std::task::Poll;
 
-/// The result of a call, made again while it is interrupted.
+/// Returns the result of a call, which is repeated while it is interrupted.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
     loop {
         match call() {
--- a/crates/daemon/src/job_handler.rs
+++ b/crates/daemon/src/job_handler.rs
@@ -23,7 +23,7 @@
 use crate::client_connection::ClientConnection;
 use crate::config::SettingNames;
 use crate::counters::SharedCounters;
-use crate::request_reader::LARGEST_BODY;
+use crate::request_reader::MAX_BODY_BYTES;
 use crate::scheduler_loop::{FinalAnswer, JobQueue, SubmittedJob};
 use crate::shutdown::Shutdown;
 use crate::write_guard::ClientPresence;
@@ -33,7 +33,7 @@
 
 type Reply = Response<Full<Bytes>>;
 
-/// The service behind every client connection.
+/// The service behind a client connection; each connection has a clone.
 #[derive(Clone)]
 pub struct JobHandler {
     /// The names of classes and tenants.
@@ -84,11 +84,11 @@
 
     fn call(&mut self, request: Request<Incoming>) -> Self::Future {
         let handler = self.clone();
-        let call = self.client_connection.call();
+        let call = self.client_connection.begin_call();
         Box::pin(async move {
             let mut reply = handler.serve(request).await;
-            // What comes behind a request that is not whole cannot be told from its body.
-            if handler.client_connection.answered() {
+            // What follows an incomplete request cannot be distinguished from its body.
+            if handler.client_connection.finish_request() {
                 reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             drop(call);
@@ -140,21 +140,21 @@
         let (parts, body) = request.into_parts();
         let job = self.read(parts, came).map_err(|why| Rejection::new(StatusCode::BAD_REQUEST, why));
         // Where the answer is known, a body that is not there yet is not waited for.
-        let mut job = if self.client_connection.whole() { job } else { Ok(job?) }?;
+        let mut job = if self.client_connection.is_request_complete() { job } else { Ok(job?) }?;
         job.request.body = self.body(body).await?;
         let id = self.open.open(&job.request.request_id);
-        // Sent on, an instance could not tell the two apart.
+        // A worker could not distinguish the two.
         let _id = id.ok_or(Rejection::new(StatusCode::CONFLICT, "request-id: open already"))?;
         if permits::admit(Instant::now(), self.shutdown.answered_by()).is_err() {
             return Err(Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "ending"));
         }
         let request_id = job.request.request_id.clone();
-        self.client_connection.prove(&request_id);
+        self.client_connection.begin_job(&request_id);
         let answer = self.job_queue.submit(job).await;
         debug!(client = self.client_connection.number, request = ?request_id, answer = answer.name(), "final answer");
         Ok(match answer {
             FinalAnswer::Served(result) => reply(StatusCode::OK, result),
-            FinalAnswer::Rejected { retry_after } => refused(retry_after),
+            FinalAnswer::Rejected { retry_after } => rejected_reply(retry_after),
             FinalAnswer::Failed => reply(StatusCode::INTERNAL_SERVER_ERROR, "failed\n"),
         })
     }
@@ -162,11 +162,11 @@
     async fn body(&self, body: Incoming) -> Result<Bytes, Rejection> {
         let too_large = || Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "body over 64 KiB");
         // Announced as too large, it is not waited for: the client may well wait for the answer.
-        if body.size_hint().lower() > LARGEST_BODY {
+        if body.size_hint().lower() > MAX_BODY_BYTES {
             return Err(too_large());
         }
-        let whole = Limited::new(body, LARGEST_BODY as usize).collect();
-        let whole = timeout_at(self.client_connection.whole_by().into(), whole);
+        let whole = Limited::new(body, MAX_BODY_BYTES as usize).collect();
+        let whole = timeout_at(self.client_connection.request_deadline().into(), whole);
         let whole = tokio::select! {
             whole = whole => whole,
             () = self.shutdown.over() => {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Takes out of the head what the decisions need; the rest goes on as it came.
+    /// Reads from the head what the dispatcher needs; the rest is forwarded unchanged.
     fn read(&self, parts: Parts, came: Instant) -> Result<SubmittedJob<ForwardedRequest>, String> {
         let headers = &parts.headers;
         let request_id = one(headers, "request-id")?.ok_or("request-id: missing")?.clone();
@@ -244,8 +244,7 @@
     value.map(|value| value.to_str().map_err(|_| format!("{name}: not plain text"))).transpose()
 }
 
-/// The further figures of a job. The sockets name them by what they are, not as the simulator does: read by
-/// the wrong names, every job looks as if it needed no memory.
+/// The resources that a job needs, from its `request-info` header. The names there are not those of the settings.
 struct RequestInfo {
     slots: f64,
     memory: f64,
@@ -268,14 +267,14 @@
     }
 }
 
-/// The answer that to try again is harmless, best after so long (ns).
-fn refused(retry_after: u64) -> Reply {
-    let mut refusal = reply(StatusCode::SERVICE_UNAVAILABLE, "refused, try again later\n");
+/// Returns the answer that a retry is harmless, best after so long (ns).
+fn rejected_reply(retry_after: u64) -> Reply {
+    let mut rejection = reply(StatusCode::SERVICE_UNAVAILABLE, "refused, try again later\n");
     let seconds = Duration::from_nanos(retry_after).as_secs_f64();
     if let Ok(seconds) = HeaderValue::try_from(format!("{seconds:.3}")) {
-        refusal.headers_mut().insert(RETRY_AFTER, seconds);
+        rejection.headers_mut().insert(RETRY_AFTER, seconds);
     }
-    refusal
+    rejection
 }
 
 fn reply(status: StatusCode, body: impl Into<Bytes>) -> Reply {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -145,7 +145,7 @@
         counters,
         shutdown,
         open: OpenRequestIds::default(),
-        client_connection: ClientConnection::begin(),
+        client_connection: ClientConnection::new(),
     };
     tokio::select! {
         () = acceptor::serve(listener, handler, descriptors) => Ok(()),
--- a/crates/daemon/src/request_reader.rs
+++ b/crates/daemon/src/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reading a service client's requests by their bytes, before hyper does.
+//! Reads a client's requests by their bytes before hyper does.
 //!
 //! hyper hides from the service some of what makes a request ambiguous: of `Content-Length` and
 //! `Transfer-Encoding` together it drops the former, and of several equal lengths all but one. What reads such
@@ -21,12 +21,12 @@
 use crate::early_rejection::EarlyRejection;
 use crate::interrupted::uninterrupted;
 
-pub const LARGEST_BODY: u64 = 64 << 10;
+pub const MAX_BODY_BYTES: u64 = 64 << 10;
 /// Heads are kept in memory for each connection, and memory may be 32 MB for hundreds of them.
-pub const LARGEST_HEAD: usize = 16 << 10;
-const MOST_HEADERS: usize = 100;
-/// Reads of one look whether a client has left, at most: one that writes without end is there.
-const MOST_LOOKS: usize = 16;
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
+const MAX_HEADERS: usize = 100;
+/// The largest number of reads in one check for a client's disconnection: a client that writes without end is there.
+const MAX_CHECK_READS: usize = 16;
 
 const TOO_LARGE: EarlyRejection =
     EarlyRejection::new(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "head over 16 KiB");
@@ -38,7 +38,7 @@
 const TWO_FRAMINGS: EarlyRejection =
     EarlyRejection::new(StatusCode::BAD_REQUEST, "content-length and transfer-encoding");
 
-/// The stream of one client, as hyper gets to see it; its clones are the same stream.
+/// The stream of one client as hyper sees it. Its clones are the same stream.
 #[derive(Clone)]
 pub struct ClientStream(Arc<Mutex<RequestReader>>);
 
@@ -73,12 +73,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether the client's end has been read.
+    /// Returns whether the end of the client's stream has been read.
     pub fn has_ended(&self) -> bool {
         self.request_reader().ended
     }
 
-    /// Ready once the client has gone while its job is under way. hyper cannot tell where anything lies unread
+    /// Is ready once the client has disconnected while its job is under way. hyper cannot tell where anything lies unread
     /// behind the request, and then reads no further.
     pub fn poll_gone(&self, cx: &mut Context) -> Poll<()> {
         let mut request_reader = self.request_reader();
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Reads and forgets; how much, or 0 at the end.
+    /// Reads and discards; returns how many bytes, or 0 at the end.
     pub fn poll_discard(&self, cx: &mut Context) -> Poll<io::Result<usize>> {
         let mut request_reader = self.request_reader();
         request_reader.buffer.clear();
@@ -111,24 +111,24 @@
 }
 
 impl RequestReader {
-    /// Whether all of a request has come to which there is no answer yet.
+    /// Returns whether all of a request has come that has no answer yet.
     fn passed(&self) -> bool {
         self.client_connection.state().passed
     }
 
     /// So much ahead of its turn is no request of a client that waits for answers.
     fn drop_excess(&mut self) {
-        if self.buffer.len() > LARGEST_HEAD {
+        if self.buffer.len() > MAX_HEAD_BYTES {
             (self.buffer, self.looked) = (BytesMut::new(), 0);
             self.client_connection.state().last = true;
         }
     }
 
     /// Returns whether the client of a job that is under way has disconnected. Reads what the kernel has, whether or not the runtime has
-    /// been told of it yet; what of that is not the end is kept for the next call.
+    /// been notified of it yet; what is not the end of the stream is kept for the next call.
     fn poll_socket(&mut self) -> bool {
         let mut space = [0; 8 << 10];
-        for _ in 0..MOST_LOOKS {
+        for _ in 0..MAX_CHECK_READS {
             if self.ended || !self.passed() {
                 break;
             }
@@ -156,7 +156,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Looks for a whole head at the start of the buffer, and lets it and its body pass.
+    /// Looks for a complete head at the start of the buffer, and lets it and its body pass to hyper.
     fn head(&mut self) {
         let blank = self.buffer.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
         if self.looked == 0 {
@@ -169,22 +169,22 @@
         }
         // Parsed anew at each byte, a head that drips in would take the processor for itself.
         let new = &self.buffer[self.looked..];
-        if new.is_empty() || self.looked > 0 && !new.contains(&b'\n') && self.buffer.len() < LARGEST_HEAD {
+        if new.is_empty() || self.looked > 0 && !new.contains(&b'\n') && self.buffer.len() < MAX_HEAD_BYTES {
             return;
         }
         self.looked = self.buffer.len();
         match framing(&self.buffer) {
             Ok(Some((head, Body::Length(length)))) => {
                 self.pass = head as u64 + length;
-                if length > LARGEST_BODY {
+                if length > MAX_BODY_BYTES {
                     (self.pass, state.last) = (u64::MAX, true);
                 }
             }
             // Where such a body ends is for hyper to say: nothing behind it is read.
             Ok(Some((_, Body::Chunked))) => (self.pass, state.last) = (u64::MAX, true),
-            Ok(None) if self.buffer.len() < LARGEST_HEAD => {}
-            Ok(None) => state.refusal = Some(TOO_LARGE),
-            Err(refusal) => state.refusal = Some(refusal),
+            Ok(None) if self.buffer.len() < MAX_HEAD_BYTES => {}
+            Ok(None) => state.rejection = Some(TOO_LARGE),
+            Err(refusal) => state.rejection = Some(refusal),
         }
     }
 }
@@ -194,9 +194,9 @@
     Chunked,
 }
 
-/// The length of the head that the bytes begin with, and its body; `None` while it is not whole.
+/// Returns the length of the head with which the bytes begin, and its body; `None` while the head is not complete.
 fn framing(bytes: &[u8]) -> Result<Option<(usize, Body)>, EarlyRejection> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let head = match request.parse(bytes) {
         Ok(httparse::Status::Complete(head)) => head,
@@ -238,10 +238,10 @@
             if reader.pass == 0 {
                 reader.head();
             }
-            if reader.client_connection.refusal().is_some() {
+            if reader.client_connection.rejection().is_some() {
                 // An error would also break off the call that is under way before it.
                 let broken = Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
-                return if reader.client_connection.busy() { Poll::Pending } else { broken };
+                return if reader.client_connection.is_busy() { Poll::Pending } else { broken };
             }
             if reader.pass > 0 && !reader.buffer.is_empty() {
                 let most = reader.buffer.len().min(out.remaining());
--- a/crates/daemon/src/rules_conversion.rs
+++ b/crates/daemon/src/rules_conversion.rs
@@ -52,20 +52,20 @@
 /// Passes each change of the rules to the scheduler loop, as long as both run. Of several changes at once only the last is
 /// passed.
 pub async fn forward_rules<P>(
-    mut told: watch::Receiver<Option<ActiveRules>>,
+    mut active_rules: watch::Receiver<Option<ActiveRules>>,
     tenants: Vec<String>,
     queue: mpsc::UnboundedSender<Event<P>>,
 ) {
     let mut last: Option<(Option<Version>, AdoptedRules)> = None;
     loop {
-        let now = told.borrow_and_update().clone();
+        let now = active_rules.borrow_and_update().clone();
         let version = now.as_ref().map(|now| now.version);
-        let agreed = match (now, &last) {
+        let adopted = match (now, &last) {
             (Some(now), Some((of, last))) if *of == version => {
                 AdoptedRules { valid_until: now.lease_expiry, ..last.clone() }
             }
             (Some(now), _) => convert(&now, &tenants),
-            // Before the first lease it has no part of anything.
+            // Before the first lease the scheduler has no share of any quota.
             (None, _) => AdoptedRules {
                 rules: Arc::new(Rules::none(1, RetryAfterBounds { shortest: 0, longest: u64::MAX })),
                 valid_until: Instant::now(),
@@ -73,24 +73,24 @@
                 degraded_version: HeaderValue::from_static("none"),
             },
         };
-        last = Some((version, agreed.clone()));
-        if queue.send(Event::RulesAdopted(agreed)).is_err() || told.changed().await.is_err() {
+        last = Some((version, adopted.clone()));
+        if queue.send(Event::RulesAdopted(adopted)).is_err() || active_rules.changed().await.is_err() {
             return;
         }
     }
 }
 
-fn text(version: Version, careful: bool) -> HeaderValue {
-    let text = if careful { format!("{version} careful") } else { version.to_string() };
+fn text(version: Version, degraded: bool) -> HeaderValue {
+    let text = if degraded { format!("{version} careful") } else { version.to_string() };
     HeaderValue::try_from(text).unwrap_or_else(|_| HeaderValue::from_static("none"))
 }
 
-fn convert(told: &ActiveRules, tenants: &[String]) -> AdoptedRules {
+fn convert(active_rules: &ActiveRules, tenants: &[String]) -> AdoptedRules {
     AdoptedRules {
-        rules: Arc::new(rules(&told.step, tenants)),
-        valid_until: told.lease_expiry,
-        version: text(told.version, false),
-        degraded_version: text(told.version, true),
+        rules: Arc::new(rules(&active_rules.step, tenants)),
+        valid_until: active_rules.lease_expiry,
+        version: text(active_rules.version, false),
+        degraded_version: text(active_rules.version, true),
     }
 }
 
--- a/crates/daemon/src/start_times.rs
+++ b/crates/daemon/src/start_times.rs
@@ -1,6 +1,6 @@
 //! When workers started, on the scheduler's monotonic clock.
 //!
-//! Starts are told in Unix time, and this machine's wall clock may be wrong or stepped. So an age is never taken from it
+//! Starts are reported in Unix time, and this machine's wall clock may be wrong or stepped. So an age is never taken from it
 //! alone, and never guessed to be more than it surely is:
 //!
 //! - a start lies before the moment at which it was first heard of, and from there real time runs;
@@ -18,13 +18,13 @@
 /// By how much the wall clock may be ahead: it may be stepped by an hour, and by another before that is noticed.
 pub const TOLERANCE: Duration = Duration::from_secs(2 * 3_600);
 
-/// A worker's start as it was last told, and as it was understood.
+/// A worker's start as it was last reported, and as it was converted.
 struct WorkerStart {
     unix: Nanos,
     clock: Nanos,
 }
 
-/// Understands starts.
+/// Converts starts from Unix time to the scheduler's clock.
 pub struct StartTimes {
     /// What discovery's clock is ahead of the scheduler's, at least.
     ahead: i128,
@@ -38,14 +38,16 @@
         StartTimes { ahead: surely - i128::from(now), known: HashMap::new() }
     }
 
-    /// Takes in that these starts (Unix time) have been told, before any of the same list is understood.
+    /// Records the starts (Unix time, ns) of a list that came at `now`. All starts of a list must be recorded before one is
+    /// converted.
     pub fn observe(&mut self, now: Nanos, starts: impl Iterator<Item = Nanos>) {
         if let Some(last) = starts.max() {
             self.ahead = self.ahead.max(i128::from(last) - i128::from(now));
         }
     }
 
-    /// When a worker started at the latest, on the scheduler's clock. A later start that is told of it is a later one here.
+    /// Returns when a worker started at the latest, on the scheduler's clock. A later start that is reported for it is a later
+    /// one here.
     pub fn convert(&mut self, name: &str, unix: Nanos) -> Nanos {
         let clock = (i128::from(unix) - self.ahead).max(1) as Nanos;
         let clock = match self.known.get(name) {
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use common::{config, Program, PATIENCE};
-use nickelflow_daemon::discovery::{DiscoveryClient, WatchEnd, WatchTiming, TOLD};
+use nickelflow_daemon::discovery::{DiscoveryClient, WatchEnd, WatchTiming, MAX_NOTIFICATION_DELAY};
 use nickelflow_daemon::endpoint_list::{EndpointList, EntryNames};
 use nickelflow_daemon::scheduler_loop::Event;
 use nickelflow_engine::ListKind;
@@ -58,7 +58,10 @@
             let pause =
                 timing.pause(WatchEnd::Silent, &mut rng).max(timing.pause(WatchEnd::Unreached, &mut rng));
             let anew = timing.silent() + 2 * (pause + timing.connect()) + queue;
-            assert!(anew < TOLD + timing.grace, "{schedulers} schedulers, {grace} ms: {anew:?}");
+            assert!(
+                anew < MAX_NOTIFICATION_DELAY + timing.grace,
+                "{schedulers} schedulers, {grace} ms: {anew:?}"
+            );
         }
     }
 }
@@ -339,7 +342,10 @@
             let noticed =
                 matches!(outage, Outage::Refuses | Outage::Fails) || lasts >= Duration::from_secs(3);
             let soon = schedulers <= 30 || schedulers <= 80 && noticed && outage != Outage::Loses;
-            assert!(!soon || took < TOLD, "{schedulers}, {outage:?} for {lasts:?}: {took:?}");
+            assert!(
+                !soon || took < MAX_NOTIFICATION_DELAY,
+                "{schedulers}, {outage:?} for {lasts:?}: {took:?}"
+            );
             let worst = worst_of.entry(lasts).or_insert((took, worked_off));
             *worst = (took.max(worst.0), worked_off.max(worst.1));
         }
@@ -492,7 +498,7 @@
     let (socket, address) = closed();
     let mut told = client(address, false);
     assert_eq!(next(&mut told).await, ListKind::Cached);
-    let stale = tokio::time::timeout(TOLD + Duration::from_secs(1), next(&mut told)).await;
+    let stale = tokio::time::timeout(MAX_NOTIFICATION_DELAY + Duration::from_secs(1), next(&mut told)).await;
     assert!(stale.is_err(), "stale while discovery could not be reached");
     // Once reached, it may have had a change, which no later outage takes back.
     let listener = socket.listen(64).expect("to listen");
@@ -508,7 +514,7 @@
     let mut told = client(listener.local_addr().expect("its address"), true);
     assert_eq!(next(&mut told).await, ListKind::Cached);
     let mut streams = vec![];
-    let stale = tokio::time::timeout(TOLD + Duration::from_secs(1), async {
+    let stale = tokio::time::timeout(MAX_NOTIFICATION_DELAY + Duration::from_secs(1), async {
         tokio::select! {
             kind = next(&mut told) => panic!("{kind:?}"),
             () = keep(&listener, &mut streams) => {}
