--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -17,6 +17,7 @@
 mod request_reader;
 pub mod rules_conversion;
 pub mod scheduler_loop;
+mod scheduler_messages;
 pub mod shutdown;
 pub mod start_times;
 pub mod throttle;
