--- a/crates/chaos/src/soak.rs
+++ b/crates/chaos/src/soak.rs
@@ -2,7 +2,7 @@
 //!
 //! What is drawn is a drill as a scenario could hold it, the system calls that fail in each scheduler, and clients that behave
 //! badly; one seed draws the same each time, whatever becomes of it. The bounds are those of the
-//! [nemesis](crate::nemesis), but that troubles come in groups that overlap.
+//! [`crate::nemesis`], but that troubles come in groups that overlap.
 
 use std::collections::BTreeMap;
 use std::path::Path;
