--- a/crates/dispatcher/src/dispatcher/admission.rs
+++ b/crates/dispatcher/src/dispatcher/admission.rs
@@ -14,19 +14,19 @@
 use crate::timers::Timer;
 
 /// Least slots that a job is taken to need.
-const MIN_SLOTS: f64 = 0.01;
+const MIN_JOB_SLOTS: f64 = 0.01;
 /// Where traffic is low a request waits, held or unstarted, for its latency objective and this part of a
 /// usual run: what waits longer is mostly late, and run all the same it takes the slots of those behind it.
 const LOW_TRAFFIC_HOLD_FACTOR: f64 = 0.3;
 /// The part of `latency_stretch` that the run itself takes, with some time for a run longer than usual. The
 /// rest may be spent waiting.
-const RUN_STRETCH: f64 = 1.3;
+const RUN_TIME_STRETCH: f64 = 1.3;
 /// A client that is rejected where traffic is low comes back after about this long (ns), mostly to another
 /// dispatcher.
 const LOW_TRAFFIC_RETRY_AFTER: Nanos = 100 * MILLISECOND;
 /// A first request may be given this part (1/n) of its class's deadline, or less: a retry has more left, for
 /// it comes a Retry-After or two later and not much more.
-const HURRIED_DIVISOR: Nanos = 4;
+const SHORT_DEADLINE_DIVISOR: Nanos = 4;
 
 /// The final answer to a request that no attempt has served.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -43,26 +43,26 @@
         if self.jobs.contains_key(&request.id) {
             return;
         }
-        self.correct_figures(&mut request);
-        self.held.record_memory(request.memory);
+        self.sanitize_request(&mut request);
+        self.held_requests.record_memory(request.memory);
         if let Some(wait) = self.active_rules.charge(request.tenant, self.now) {
             let wait = self.jittered(wait);
             let retry_after = self.active_rules.bounded_retry_after(wait);
             let retry_after = retry_after.min(self.settings.max_retry_after);
             return actions.push(Action::Reject { request: request.id, retry_after });
         }
-        let id = request.id;
-        let job = self.new_job(request);
-        self.timers.start(job.deadline, Timer::Deadline(id));
-        self.arrivals += 1;
+        let request_id = request.id;
+        let job = self.create_job(request);
+        self.timers.start(job.deadline, Timer::Deadline(request_id));
+        self.arrival_count += 1;
         self.arrival_rate.count(self.now);
         self.probe_budget.add_request();
-        self.jobs.insert(id, job);
-        self.dispatch(id, actions);
+        self.jobs.insert(request_id, job);
+        self.dispatch(request_id, actions);
     }
 
     /// Replaces impossible figures by the least possible ones, and an unknown class by the last.
-    fn correct_figures(&self, request: &mut Request) {
+    fn sanitize_request(&self, request: &mut Request) {
         let at_least = |figure: f64, least: f64| {
             let is_possible = figure.is_finite() && figure >= 0.0;
             if is_possible {
@@ -71,27 +71,27 @@
                 least
             }
         };
-        request.slots = at_least(request.slots, MIN_SLOTS);
+        request.slots = at_least(request.slots, MIN_JOB_SLOTS);
         request.memory = at_least(request.memory, 0.0);
-        request.class = request.class.min(self.classes.len() as u32 - 1);
+        request.class = request.class.min(self.class_stats.len() as u32 - 1);
     }
 
     /// Creates the job of an accepted request, and charges its tenant's quota.
-    fn new_job(&mut self, request: Request) -> Job {
+    fn create_job(&mut self, request: Request) -> Job {
         let deadline = self.request_deadline(&request);
-        let hold_until = self.hold_until(&request).min(deadline);
+        let hold_until = self.hold_deadline(&request).min(deadline);
         let quota_use = self.quotas.charge(request.tenant, self.now);
         if let Some(key) = request.key {
             self.key_frequency.add(key);
         }
         let candidates = if self.has_low_traffic() {
-            self.candidates(request.key, request.class, None, request.tenant)
+            self.select_candidates(request.key, request.class, None, request.tenant)
         } else {
             request.key.map_or_else(Vec::new, |key| self.affinity_workers(key, request.tenant))
         };
         Job {
             request,
-            arrival: self.arrivals,
+            arrival: self.arrival_count,
             deadline,
             hold_until,
             quota_use,
@@ -113,61 +113,61 @@
     }
 
     /// Returns until when a request may be held as one that can still be answered in time.
-    fn hold_until(&self, request: &Request) -> Nanos {
+    fn hold_deadline(&self, request: &Request) -> Nanos {
         let class = &self.settings.classes[request.class as usize];
-        let stats = &self.classes[request.class as usize];
+        let stats = &self.class_stats[request.class as usize];
         // A retry has less time left than a first request: its objective began with that one. With hardly any
         // left it is more likely the first request of a client in a hurry, whose objective begins now.
-        let is_hurried = request.time_left < stats.deadline() / HURRIED_DIVISOR;
+        let is_hurried = request.time_left < stats.deadline() / SHORT_DEADLINE_DIVISOR;
         let elapsed = if is_hurried { 0 } else { stats.deadline().saturating_sub(request.time_left) };
         let hold_factor = if self.has_low_traffic() {
             LOW_TRAFFIC_HOLD_FACTOR
         } else {
-            (class.latency_stretch - RUN_STRETCH).max(0.0)
+            (class.latency_stretch - RUN_TIME_STRETCH).max(0.0)
         };
         let max_hold = class.latency_objective as f64 + hold_factor * stats.mean_run_ns();
         (self.now + max_hold as Nanos).saturating_sub(elapsed)
     }
 
     /// Sends the request to an open worker, or holds it.
-    pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        if let Some(worker) = self.pick_worker(id) {
-            return self.send(id, worker, actions);
+    pub(super) fn dispatch(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
+        if let Some(worker) = self.pick_worker(request_id) {
+            return self.send_attempt(request_id, worker, actions);
         }
-        let Some(job) = self.jobs.get(&id) else { return };
-        if self.now < job.hold_until && self.may_be_attempted(job) {
+        let Some(job) = self.jobs.get(&request_id) else { return };
+        if self.now < job.hold_until && self.may_start_attempt(job) {
             let rank = if job.is_over_quota() { HoldRank::OverQuota } else { HoldRank::InTime };
-            self.hold(id, rank);
-        } else if self.is_worth_holding_late(job) {
-            self.hold(id, HoldRank::Late);
+            self.hold(request_id, rank);
+        } else if self.may_be_held_late(job) {
+            self.hold(request_id, HoldRank::Late);
         } else {
-            self.answer(id, actions);
+            self.reject_or_fail(request_id, actions);
         }
-        let search = self.jobs.get(&id).map_or(0, |job| job.candidate_search);
-        self.probe_next_candidate(id, search, actions);
+        let search = self.jobs.get(&request_id).map_or(0, |job| job.candidate_search);
+        self.probe_next_candidate(request_id, search, actions);
     }
 
     /// Returns whether a late answer to the request has any value.
-    pub(super) fn late_answer_counts(&self, job: &Job) -> bool {
+    pub(super) fn late_answer_has_value(&self, job: &Job) -> bool {
         self.class_of(job).late_weight_share > 0.0
     }
 
     /// Returns whether the request may be held on once an answer in time is no longer possible.
-    fn is_worth_holding_late(&self, job: &Job) -> bool {
-        !job.is_over_quota() && self.late_answer_counts(job) && self.may_be_attempted(job)
+    fn may_be_held_late(&self, job: &Job) -> bool {
+        !job.is_over_quota() && self.late_answer_has_value(job) && self.may_start_attempt(job)
     }
 
     /// Puts the request into the hold queue, or moves it there to another rank.
-    fn hold(&mut self, id: RequestId, rank: HoldRank) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+    fn hold(&mut self, request_id: RequestId, rank: HoldRank) {
+        let Some(job) = self.jobs.get_mut(&request_id) else { return };
         let position = HoldPosition { rank, arrival: job.arrival };
         let former = job.hold_position.replace(position);
-        self.held.put(id, former, position, &job.candidates);
+        self.held_requests.put(request_id, former, position, &job.candidates);
         let (hold_until, slots, memory) = (job.hold_until, job.request.slots, job.request.memory);
-        let send_by = self.jobs.get(&id).map_or(hold_until, |job| self.send_by(job));
+        let send_by = self.jobs.get(&request_id).map_or(hold_until, |job| self.resend_deadline(job));
         let timeout = if rank == HoldRank::Late { send_by } else { hold_until.min(send_by) };
-        self.timers.start(timeout, Timer::HoldTimeout(id));
-        if self.held.raise_requirements(slots, memory) {
+        self.timers.start(timeout, Timer::HoldTimeout(request_id));
+        if self.held_requests.raise_requirements(slots, memory) {
             // A wide job is waiting: workers that cover only narrow ones are closed to it, and probed.
             for worker in 0..self.workers.len() {
                 self.update_open_state(worker);
@@ -176,42 +176,42 @@
     }
 
     /// Removes the request from the hold queue, if it is there.
-    pub(super) fn unhold(&mut self, id: RequestId) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+    pub(super) fn remove_from_hold_queue(&mut self, request_id: RequestId) {
+        let Some(job) = self.jobs.get_mut(&request_id) else { return };
         if let Some(position) = job.hold_position.take() {
-            self.held.remove(position, &job.candidates);
+            self.held_requests.remove(position, &job.candidates);
         }
     }
 
     /// Answers a held request, or holds it on as a late one, once an answer in time is no longer possible.
-    pub(super) fn end_hold(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get(&id) else { return };
-        let is_over = self.now >= job.hold_until.min(self.send_by(job));
+    pub(super) fn handle_hold_timeout(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
+        let Some(job) = self.jobs.get(&request_id) else { return };
+        let is_over = self.now >= job.hold_until.min(self.resend_deadline(job));
         if job.hold_position.is_none() || !is_over {
             return;
         }
-        if self.is_worth_holding_late(job) {
-            self.hold(id, HoldRank::Late);
+        if self.may_be_held_late(job) {
+            self.hold(request_id, HoldRank::Late);
         } else {
-            self.answer(id, actions);
+            self.reject_or_fail(request_id, actions);
         }
     }
 
     /// Gives held requests to a worker that may have reopened, in their order.
-    pub(super) fn drain_hold_queue(&mut self, index: usize, actions: &mut Vec<Action>) {
+    pub(super) fn drain_hold_queue(&mut self, worker_index: usize, actions: &mut Vec<Action>) {
         let mut after = Bound::Unbounded;
         let min_free_slots = if self.has_low_traffic() { 0.0 } else { 1.0 - K };
-        while let Some((position, id)) = self.held.next(index, after) {
+        while let Some((position, request_id)) = self.held_requests.next(worker_index, after) {
             after = Bound::Excluded(position);
-            let Some(worker) = self.workers.get(index) else { return };
+            let Some(worker) = self.workers.get(worker_index) else { return };
             let free_slots = worker.load.free_slots();
             if worker.is_ejected() || free_slots.is_none_or(|free| free < min_free_slots) {
                 return;
             }
-            let may_take = self.may_take_held(index, id);
-            let Some(job) = self.jobs.get(&id) else { continue };
-            if may_take && self.may_be_attempted(job) {
-                self.send(id, index, actions);
+            let may_take = self.admits_held_request(worker_index, request_id);
+            let Some(job) = self.jobs.get(&request_id) else { continue };
+            if may_take && self.may_start_attempt(job) {
+                self.send_attempt(request_id, worker_index, actions);
             } else if job.has_least_demand() && job.candidates.is_empty() {
                 // Not even for the narrowest: what waits behind it in this rank has no better chance.
                 after = Bound::Excluded(HoldPosition::end_of(position.rank));
@@ -220,16 +220,16 @@
     }
 
     /// Returns whether it is a held request's turn at a worker, and the worker is open for it.
-    fn may_take_held(&mut self, index: usize, id: RequestId) -> bool {
+    fn admits_held_request(&mut self, worker_index: usize, request_id: RequestId) -> bool {
         if self.has_low_traffic() {
-            return self.first_open_candidate(id) == Some(index);
+            return self.first_open_candidate(request_id) == Some(worker_index);
         }
-        self.jobs.get(&id).is_some_and(|job| self.is_open(index, job))
+        self.jobs.get(&request_id).is_some_and(|job| self.is_open(worker_index, job))
     }
 
     /// Gives the final answer, unless it has been given: a rejection where that is harmless, else a failure.
-    pub(super) fn answer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get(&id).filter(|job| !job.is_finished && !job.is_streaming) else {
+    pub(super) fn reject_or_fail(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
+        let Some(job) = self.jobs.get(&request_id).filter(|job| !job.is_finished && !job.is_streaming) else {
             return;
         };
         let may_be_repeated = matches!(
@@ -238,20 +238,25 @@
         );
         let is_harmless = may_be_repeated || job.first_possible_run().is_none();
         let answer = if is_harmless { FinalAnswer::Reject } else { FinalAnswer::Fail };
-        self.finish(id, answer, actions);
+        self.give_final_answer(request_id, answer, actions);
     }
 
     /// Gives the final answer, and cancels what is still in flight.
-    pub(super) fn finish(&mut self, id: RequestId, answer: FinalAnswer, actions: &mut Vec<Action>) {
+    pub(super) fn give_final_answer(
+        &mut self,
+        request_id: RequestId,
+        answer: FinalAnswer,
+        actions: &mut Vec<Action>,
+    ) {
         match answer {
             FinalAnswer::Reject => {
                 let retry_after = self.retry_after();
-                actions.push(Action::Reject { request: id, retry_after });
+                actions.push(Action::Reject { request: request_id, retry_after });
             }
-            FinalAnswer::Fail => actions.push(Action::Fail { request: id }),
+            FinalAnswer::Fail => actions.push(Action::Fail { request: request_id }),
         }
-        self.cancel_attempts(id, actions);
-        self.close_request(id);
+        self.cancel_attempts(request_id, actions);
+        self.finish_request(request_id);
     }
 
     /// Returns the Retry-After (ns) of a rejected request.
@@ -265,12 +270,12 @@
     }
 
     /// Closes a request; what is still in flight is waited for only to give its slots back.
-    pub(super) fn close_request(&mut self, id: RequestId) {
-        self.unhold(id);
-        if let Some(job) = self.jobs.get_mut(&id) {
+    pub(super) fn finish_request(&mut self, request_id: RequestId) {
+        self.remove_from_hold_queue(request_id);
+        if let Some(job) = self.jobs.get_mut(&request_id) {
             job.is_finished = true;
             if !job.has_attempt_in_flight() {
-                self.jobs.remove(&id);
+                self.jobs.remove(&request_id);
             }
         }
     }
--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -30,81 +30,91 @@
 
 impl Dispatcher {
     /// Sends a request to a worker.
-    pub(super) fn send(&mut self, id: RequestId, index: usize, actions: &mut Vec<Action>) {
-        self.unhold(id);
-        let send_by = self.jobs.get(&id).map_or(Nanos::MAX, |job| self.send_by(job));
-        let (Some(job), Some(worker)) = (self.jobs.get_mut(&id), self.workers.get_mut(index)) else { return };
-        let attempt = AttemptId { request: id, number: job.attempts.len() as u32 };
-        job.attempts.push(Attempt::new(index, worker.entry.clone(), self.now));
+    pub(super) fn send_attempt(
+        &mut self,
+        request_id: RequestId,
+        worker_index: usize,
+        actions: &mut Vec<Action>,
+    ) {
+        self.remove_from_hold_queue(request_id);
+        let send_by = self.jobs.get(&request_id).map_or(Nanos::MAX, |job| self.resend_deadline(job));
+        let (Some(job), Some(worker)) = (self.jobs.get_mut(&request_id), self.workers.get_mut(worker_index))
+        else {
+            return;
+        };
+        let attempt_id = AttemptId { request: request_id, number: job.attempts.len() as u32 };
+        job.attempts.push(Attempt::new(worker_index, worker.entry.clone(), self.now));
         worker.load.job_sent(self.now, job.request.slots, job.request.memory);
         worker.health.attempt_sent(self.now);
-        let worker = WorkerId(index as u32);
-        actions.push(Action::Send { request: id, worker, timeout: 0, send_by });
+        let worker = WorkerId(worker_index as u32);
+        actions.push(Action::Send { request: request_id, worker, timeout: 0, send_by });
         let (class, slots) = (job.request.class, job.request.slots);
-        self.take_slow_start_tokens(index, class, slots);
+        self.take_slow_start_tokens(worker_index, class, slots);
         if !self.settings.notifies_job_start {
-            self.count_at_worker(attempt);
+            self.start_service_time(attempt_id);
         }
-        self.start_hedge_timers(attempt);
-        self.update_open_state(index);
+        self.start_hedge_timers(attempt_id);
+        self.update_open_state(worker_index);
     }
 
     /// Takes a job out of a warming worker's bucket.
-    fn take_slow_start_tokens(&mut self, index: usize, class: u32, slots: f64) {
-        let Some(worker) = self.workers.get(index) else { return };
+    fn take_slow_start_tokens(&mut self, worker_index: usize, class: u32, slots: f64) {
+        let Some(worker) = self.workers.get(worker_index) else { return };
         let Some(limit) = self.slow_start_limit(worker, class) else { return };
-        let Some(worker) = self.workers.get_mut(index) else { return };
+        let Some(worker) = self.workers.get_mut(worker_index) else { return };
         let refilled_at = worker.bucket.take(&limit, slots, self.now);
-        self.timers.start(refilled_at, Timer::DrainHoldQueue { worker: index });
+        self.timers.start(refilled_at, Timer::DrainHoldQueue { worker: worker_index });
     }
 
     /// Starts the timers after which an attempt without a sign of life is cancelled.
-    fn start_hedge_timers(&mut self, attempt: AttemptId) {
-        let Some(job) = self.jobs.get(&attempt.request).filter(|_| self.settings.can_cancel) else { return };
+    fn start_hedge_timers(&mut self, attempt_id: AttemptId) {
+        let Some(job) = self.jobs.get(&attempt_id.request).filter(|_| self.settings.can_cancel) else {
+            return;
+        };
         let class = self.class_of(job);
         let useful_until = job.hold_until.max(self.now + class.latency_objective);
         if class.idempotency != Idempotency::NonIdempotent {
             let silent_at = self.now + self.max_silence() + 1;
-            self.timers.start(silent_at, Timer::Hedge(attempt));
+            self.timers.start(silent_at, Timer::Hedge(attempt_id));
         }
         if self.settings.notifies_job_start {
-            self.timers.start(useful_until, Timer::Hedge(attempt));
+            self.timers.start(useful_until, Timer::Hedge(attempt_id));
         }
     }
 
     /// Cancels all attempts of a request. Nobody waits for them: run on, they would take slots for nothing.
-    pub(super) fn cancel_attempts(&self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get(&id).filter(|_| self.settings.can_cancel) else { return };
+    pub(super) fn cancel_attempts(&self, request_id: RequestId, actions: &mut Vec<Action>) {
+        let Some(job) = self.jobs.get(&request_id).filter(|_| self.settings.can_cancel) else { return };
         for (number, attempt) in job.attempts.iter().enumerate() {
             if attempt.is_in_flight {
-                actions.push(Action::Cancel { request: id, attempt: number as u32 });
+                actions.push(Action::Cancel { request: request_id, attempt: number as u32 });
             }
         }
     }
 
     /// Cancels an attempt of which no sign has come, if its worker is silent and its class allows another, or
     /// if it can only end late now.
-    pub(super) fn cancel_unconfirmed(&mut self, id: AttemptId, actions: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get(&id.request).filter(|job| !job.is_finished) else { return };
-        let attempt = job.attempts.get(id.number as usize);
+    pub(super) fn cancel_unconfirmed_attempt(&mut self, attempt_id: AttemptId, actions: &mut Vec<Action>) {
+        let Some(job) = self.jobs.get(&attempt_id.request).filter(|job| !job.is_finished) else { return };
+        let attempt = job.attempts.get(attempt_id.number as usize);
         let Some(attempt) = attempt.filter(|attempt| attempt.is_unconfirmed()) else { return };
-        let late_counts = self.late_answer_counts(job);
+        let late_counts = self.late_answer_has_value(job);
         let another_is_useful = self.now < job.hold_until.max(attempt.sent_at) || late_counts;
         let another_is_allowed =
-            self.now < self.send_by(job) && job.attempts.len() < self.settings.max_attempts as usize;
+            self.now < self.resend_deadline(job) && job.attempts.len() < self.settings.max_attempts as usize;
         let worker_is_silent = self.workers.get(attempt.worker).is_some_and(|worker| self.is_silent(worker));
         let useful_until = job.hold_until.max(attempt.sent_at + self.class_of(job).latency_objective);
         // Not started when it can only be late any more, it would take slots for nothing.
         let is_useless = self.settings.notifies_job_start && self.now >= useful_until && !late_counts;
         if is_useless || worker_is_silent && another_is_useful && another_is_allowed {
-            actions.push(Action::Cancel { request: id.request, attempt: id.number });
+            actions.push(Action::Cancel { request: attempt_id.request, attempt: attempt_id.number });
         }
     }
 
     /// Notes that an attempt has started, or reported its progress.
-    pub(super) fn note_progress(&mut self, id: AttemptId) {
-        let Some(job) = self.jobs.get_mut(&id.request) else { return };
-        let attempt = job.attempts.get_mut(id.number as usize);
+    pub(super) fn record_progress(&mut self, attempt_id: AttemptId) {
+        let Some(job) = self.jobs.get_mut(&attempt_id.request) else { return };
+        let attempt = job.attempts.get_mut(attempt_id.number as usize);
         let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight) else { return };
         let order = SignalOrder::after(attempt.first_signal_at);
         attempt.first_signal_at.get_or_insert(self.now);
@@ -112,15 +122,15 @@
             worker.health.attempt_signal(self.now, order, SignalSource::Worker);
         }
         if order == SignalOrder::First && self.settings.notifies_job_start {
-            self.count_at_worker(id);
+            self.start_service_time(attempt_id);
         }
     }
 
     /// Counts an attempt as a job at its worker from now on. Those at warming workers count only as long as
     /// there are no others.
-    fn count_at_worker(&mut self, id: AttemptId) {
-        let Some(job) = self.jobs.get_mut(&id.request) else { return };
-        let Some(attempt) = job.attempts.get_mut(id.number as usize) else { return };
+    fn start_service_time(&mut self, attempt_id: AttemptId) {
+        let Some(job) = self.jobs.get_mut(&attempt_id.request) else { return };
+        let Some(attempt) = job.attempts.get_mut(attempt_id.number as usize) else { return };
         let kind = attempt.entry.kind;
         let weight = self.settings.limits.slow_start_weight(attempt.entry.started, self.now, 0);
         let is_warm = weight.is_none();
@@ -135,11 +145,16 @@
     }
 
     /// Takes in how an attempt ended.
-    pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: &AttemptOutcome, actions: &mut Vec<Action>) {
+    pub(super) fn end_attempt(
+        &mut self,
+        attempt_id: AttemptId,
+        outcome: &AttemptOutcome,
+        actions: &mut Vec<Action>,
+    ) {
         // The limit as it was before this attempt was measured.
         let max_silence = self.max_silence();
-        let Some(ended) = self.mark_ended(id, outcome.outcome) else { return };
-        self.measure(&ended, outcome.outcome);
+        let Some(ended) = self.mark_ended(attempt_id, outcome.outcome) else { return };
+        self.record_service_time(&ended, outcome.outcome);
         let share = self.report_share(ended.worker);
         self.update_worker(&ended, outcome, max_silence, &share);
         self.continue_request(ended.request, outcome, actions);
@@ -148,13 +163,14 @@
     }
 
     /// Marks an attempt as ended; `None` if it is unknown or has ended before.
-    fn mark_ended(&mut self, id: AttemptId, outcome: Outcome) -> Option<EndedAttempt> {
-        let job = self.jobs.get_mut(&id.request)?;
-        let attempt = job.attempts.get_mut(id.number as usize).filter(|attempt| attempt.is_in_flight)?;
+    fn mark_ended(&mut self, attempt_id: AttemptId, outcome: Outcome) -> Option<EndedAttempt> {
+        let job = self.jobs.get_mut(&attempt_id.request)?;
+        let attempt =
+            job.attempts.get_mut(attempt_id.number as usize).filter(|attempt| attempt.is_in_flight)?;
         attempt.is_in_flight = false;
         attempt.may_have_run = !outcome.never_ran();
         Some(EndedAttempt {
-            request: id.request,
+            request: attempt_id.request,
             worker: attempt.worker,
             entry: attempt.entry.clone(),
             sent_at: attempt.sent_at,
@@ -167,10 +183,10 @@
     }
 
     /// Measures the class's runs and the worker's service rate by an attempt.
-    fn measure(&mut self, ended: &EndedAttempt, outcome: Outcome) {
+    fn record_service_time(&mut self, ended: &EndedAttempt, outcome: Outcome) {
         if outcome == Outcome::Ok {
             let run = self.now - self.run_start(ended);
-            self.classes[ended.class as usize].record_run(run as f64);
+            self.class_stats[ended.class as usize].record_run(run as f64);
         }
         if let Some(began) = ended.counted_since {
             let weight = self.settings.limits.slow_start_weight(ended.entry.started, self.now, 0);
@@ -229,40 +245,45 @@
     }
 
     /// Continues with a request after one of its attempts has ended.
-    fn continue_request(&mut self, id: RequestId, outcome: &AttemptOutcome, actions: &mut Vec<Action>) {
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+    fn continue_request(
+        &mut self,
+        request_id: RequestId,
+        outcome: &AttemptOutcome,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(job) = self.jobs.get_mut(&request_id) else { return };
         job.is_finished |= outcome.finished;
         if job.is_finished {
-            self.close_request(id);
+            self.finish_request(request_id);
         } else if outcome.outcome == Outcome::InvalidJob {
             // Any other worker would say the same, and so would they to the client's retry.
             self.quotas.refund(job.request.tenant.filter(|_| !job.is_over_quota()));
-            self.finish(id, FinalAnswer::Fail, actions);
+            self.give_final_answer(request_id, FinalAnswer::Fail, actions);
         } else if !job.has_attempt_in_flight() {
-            self.renew_candidates(id);
-            self.dispatch(id, actions);
+            self.update_candidates(request_id);
+            self.dispatch(request_id, actions);
         }
     }
 
     /// Ranks the candidates anew where traffic is low: in the cell of the worker that may have run the
     /// request, which is where a repeat is dropped.
-    fn renew_candidates(&mut self, id: RequestId) {
+    fn update_candidates(&mut self, request_id: RequestId) {
         if !self.has_low_traffic() {
             return;
         }
-        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(job) = self.jobs.get(&request_id) else { return };
         let earlier = job.last_possible_worker().and_then(|index| self.workers.get(index));
         let cell = earlier.map(|worker| worker.entry.cell);
         let (key, class, tenant) = (job.request.key, job.request.class, job.request.tenant);
-        let candidates = self.candidates(key, class, cell, tenant);
-        if let Some(job) = self.jobs.get_mut(&id) {
+        let candidates = self.select_candidates(key, class, cell, tenant);
+        if let Some(job) = self.jobs.get_mut(&request_id) {
             job.candidates = candidates;
         }
     }
 
     /// Returns how long (ns) a worker with work may go without a sign of life.
     fn max_silence(&self) -> Nanos {
-        let longest_run = self.classes.iter().map(|class| class.mean_run_ns()).fold(0.0, f64::max);
+        let longest_run = self.class_stats.iter().map(|class| class.mean_run_ns()).fold(0.0, f64::max);
         HealthSignals::max_silence(&self.settings, longest_run)
     }
 
--- a/crates/dispatcher/src/dispatcher/membership.rs
+++ b/crates/dispatcher/src/dispatcher/membership.rs
@@ -17,7 +17,7 @@
 use crate::worker_table::EntryChange;
 
 /// Longest delay (ns) of the first probe of a new worker, for each dispatcher that does the same.
-const MAX_FIRST_PROBE_DELAY: Nanos = 3 * MILLISECOND;
+const MAX_FIRST_PROBE_DELAY_PER_DISPATCHER: Nanos = 3 * MILLISECOND;
 /// Backoff (ns) before membership changes are subscribed to again. All dispatchers fail together when the
 /// list service is overloaded, so it grows with their number.
 const SUBSCRIBE_BACKOFF: Nanos = 500 * MILLISECOND;
@@ -34,10 +34,10 @@
         entries: Vec<WorkerEntry>,
         actions: &mut Vec<Action>,
     ) {
-        if self.settings.requires_subscription && !self.is_subscribed {
+        if self.settings.requires_subscription && !self.has_subscribed {
             // Without a subscription the list grows old, and this dispatcher answers for changes that it
             // misses.
-            self.is_subscribed = true;
+            self.has_subscribed = true;
             actions.push(Action::Subscribe);
         }
         match kind {
@@ -71,28 +71,29 @@
 
     /// Takes in one entry of the list.
     fn apply_entry(&mut self, entry: WorkerEntry) {
-        let index = entry.worker.0 as usize;
+        let worker_index = entry.worker.0 as usize;
         match self.workers.update_entry(&entry) {
-            EntryChange::None => self.workers.update_indexes(index),
-            EntryChange::NoLongerReady => self.update_open_state(index),
+            EntryChange::None => self.workers.update_indexes(worker_index),
+            EntryChange::NoLongerReady => self.update_open_state(worker_index),
             EntryChange::Started => self.add_worker(entry),
         }
     }
 
     /// Adds a worker that is new, has restarted or is ready again, and schedules its first probe.
     fn add_worker(&mut self, entry: WorkerEntry) {
-        let index = entry.worker.0 as usize;
+        let worker_index = entry.worker.0 as usize;
         let is_ready = entry.status == WorkerStatus::Ready;
-        let timer_number = self.workers.get(index).map_or(0, |former| former.probe.next_timer_number());
+        let timer_number =
+            self.workers.get(worker_index).map_or(0, |former| former.probe.next_timer_number());
         let random = entry.started.map_or(0.0, |_| self.rng.f64());
         let bucket = TokenBucket::new(self.settings.dispatchers, random, self.now);
         let mut worker = Worker::new(entry, bucket, timer_number, self.now);
         worker.is_ready = is_ready;
         if is_ready && self.settings.can_probe && !self.has_low_traffic() {
             let number = worker.probe.schedule_first();
-            let max_delay = MAX_FIRST_PROBE_DELAY * u64::from(self.settings.dispatchers);
+            let max_delay = MAX_FIRST_PROBE_DELAY_PER_DISPATCHER * u64::from(self.settings.dispatchers);
             let delay = self.rng.u64(0..max_delay);
-            self.timers.start(self.now + delay, Timer::Probe { worker: index, number });
+            self.timers.start(self.now + delay, Timer::Probe { worker: worker_index, number });
         } else if is_ready && !self.settings.can_probe {
             worker.load.assume_idle();
         }
@@ -113,8 +114,8 @@
 
     /// Cancels the attempts that drained workers have not started, where another attempt is allowed.
     fn cancel_attempts_at_drained_workers(&self, actions: &mut Vec<Action>) {
-        let is_drained = |index: usize| {
-            let worker = self.workers.get(index);
+        let is_drained = |worker_index: usize| {
+            let worker = self.workers.get(worker_index);
             worker.is_some_and(|worker| self.active_rules.drains(worker.entry.address_hash))
         };
         let may_run_again = |job: &Job| self.class_of(job).idempotency != Idempotency::NonIdempotent;
--- a/crates/dispatcher/src/dispatcher/mod.rs
+++ b/crates/dispatcher/src/dispatcher/mod.rs
@@ -39,16 +39,16 @@
 
 /// Each delay is drawn evenly from half of it to one and a half times it, so that workers that close together
 /// do not reopen together.
-const JITTER: f64 = 0.5;
+const MIN_JITTER_FACTOR: f64 = 0.5;
 /// A dispatcher has little traffic that sends a worker fewer jobs than this in a report's age: its own sends
 /// then say next to nothing of how the worker fares.
-const LOW_TRAFFIC_JOBS_PER_REPORT: f64 = 0.5;
+const LOW_TRAFFIC_MAX_JOBS_PER_WORKER: f64 = 0.5;
 /// How long (ns) a report is good for where traffic is low.
-const LOW_TRAFFIC_REPORT_AGE: Nanos = 300 * MILLISECOND;
+const LOW_TRAFFIC_MAX_REPORT_AGE: Nanos = 300 * MILLISECOND;
 /// A probe that takes longer than this (ns) no longer keeps a job from its next candidate.
-const CANDIDATE_PROBE_WAIT: Nanos = 30 * MILLISECOND;
+const MAX_CANDIDATE_PROBE_WAIT: Nanos = 30 * MILLISECOND;
 /// Requests of which the keys are remembered.
-const REMEMBERED_KEYS: f64 = 400.0;
+const KEY_FREQUENCY_CAPACITY: f64 = 400.0;
 
 /// One dispatcher's decisions, as a state machine without I/O.
 pub struct Dispatcher {
@@ -60,15 +60,15 @@
     shutdown_deadline: Nanos,
     workers: WorkerTable,
     /// Whether membership changes have been subscribed to.
-    is_subscribed: bool,
+    has_subscribed: bool,
     active_rules: ActiveRules,
     jobs: BTreeMap<RequestId, Job>,
     /// Requests that have arrived.
-    arrivals: u64,
-    held: HeldRequests,
+    arrival_count: u64,
+    held_requests: HeldRequests,
     quotas: Quotas,
     arrival_rate: ArrivalRate,
-    classes: Vec<ClassStats>,
+    class_stats: Vec<ClassStats>,
     key_frequency: KeyFrequency,
     /// Mean traffic weight of the workers, as of the last candidates that were ranked.
     mean_traffic_weight: f64,
@@ -92,15 +92,15 @@
             timers: TimerQueue::default(),
             shutdown_deadline: Nanos::MAX,
             workers: WorkerTable::new(&settings),
-            is_subscribed: false,
+            has_subscribed: false,
             active_rules: ActiveRules::default(),
             jobs: BTreeMap::new(),
-            arrivals: 0,
-            held: HeldRequests::new(),
+            arrival_count: 0,
+            held_requests: HeldRequests::new(),
             quotas: Quotas::new(&settings),
             arrival_rate: ArrivalRate::new(&settings),
-            classes: settings.classes.iter().map(ClassStats::new).collect(),
-            key_frequency: KeyFrequency::new(REMEMBERED_KEYS),
+            class_stats: settings.classes.iter().map(ClassStats::new).collect(),
+            key_frequency: KeyFrequency::new(KEY_FREQUENCY_CAPACITY),
             mean_traffic_weight: 1.0,
             service_rates: ServiceRates::new(&settings),
             slow_start_admission: SlowStartAdmission::default(),
@@ -114,22 +114,22 @@
     /// of an earlier event counts as that one.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        self.apply_event(event, actions);
+        self.handle_event(event, actions);
         while let Some(timer) = self.timers.pop_expired(self.now) {
-            self.apply_timer(timer, actions);
+            self.handle_timer(timer, actions);
         }
         actions.extend(self.timers.request_wake(self.now).map(|at| Action::Wake { at }));
     }
 
-    fn apply_event(&mut self, event: Event, actions: &mut Vec<Action>) {
+    fn handle_event(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::WorkerList { kind, entries } => self.apply_worker_list(kind, entries, actions),
             Event::Request(request) => self.accept_request(request, actions),
             Event::Progress { request, attempt: number } => {
-                self.note_progress(AttemptId { request, number });
+                self.record_progress(AttemptId { request, number });
             }
             Event::Streaming { request, attempt: number } => {
-                self.note_progress(AttemptId { request, number });
+                self.record_progress(AttemptId { request, number });
                 if let Some(job) = self.jobs.get_mut(&request) {
                     job.is_streaming = true;
                 }
@@ -139,11 +139,11 @@
                 self.end_attempt(AttemptId { request, number }, &outcome, actions);
             }
             Event::ProbeCompleted { worker, outcome, report } => {
-                self.complete_probe(worker, outcome, report, actions);
+                self.handle_probe_completed(worker, outcome, report, actions);
             }
             Event::ClientDisconnected { request } => {
                 self.cancel_attempts(request, actions);
-                self.close_request(request);
+                self.finish_request(request);
             }
             Event::Shutdown { deadline } => self.begin_shutdown(deadline),
             Event::Rules { rules, valid_until } => self.apply_rules(rules, valid_until, actions),
@@ -153,12 +153,12 @@
         }
     }
 
-    fn apply_timer(&mut self, timer: Timer, actions: &mut Vec<Action>) {
+    fn handle_timer(&mut self, timer: Timer, actions: &mut Vec<Action>) {
         match timer {
-            Timer::Deadline(request) => self.answer(request, actions),
-            Timer::HoldTimeout(request) => self.end_hold(request, actions),
-            Timer::Hedge(attempt) => self.cancel_unconfirmed(attempt, actions),
-            Timer::Probe { worker, number } => self.run_probe_timer(worker, number, actions),
+            Timer::Deadline(request) => self.reject_or_fail(request, actions),
+            Timer::HoldTimeout(request) => self.handle_hold_timeout(request, actions),
+            Timer::Hedge(attempt) => self.cancel_unconfirmed_attempt(attempt, actions),
+            Timer::Probe { worker, number } => self.handle_probe_timer(worker, number, actions),
             Timer::ProbeNextCandidate { request, search } => {
                 self.probe_next_candidate(request, search, actions);
             }
@@ -177,7 +177,7 @@
 
     /// Returns a delay (ns) drawn from around the given one.
     fn jittered(&mut self, delay: Nanos) -> Nanos {
-        let factor = JITTER + self.rng.f64() * (2.0 - JITTER - JITTER);
+        let factor = MIN_JITTER_FACTOR + self.rng.f64() * (2.0 - MIN_JITTER_FACTOR - MIN_JITTER_FACTOR);
         (delay as f64 * factor) as Nanos
     }
 
@@ -187,13 +187,13 @@
     }
 
     /// Returns the jobs that arrive in the age of a report.
-    fn jobs_per_report(&self) -> f64 {
+    fn arrivals_per_report_age(&self) -> f64 {
         self.arrival_rate.per_s() * MAX_REPORT_AGE as f64 / NANOS_PER_SECOND
     }
 
     /// Returns whether the dispatcher sends each worker next to nothing.
     fn has_low_traffic(&self) -> bool {
-        let limit = LOW_TRAFFIC_JOBS_PER_REPORT * self.workers.ready_count() as f64;
-        self.settings.can_probe && self.jobs_per_report() < limit
+        let limit = LOW_TRAFFIC_MAX_JOBS_PER_WORKER * self.workers.ready_count() as f64;
+        self.settings.can_probe && self.arrivals_per_report_age() < limit
     }
 }
--- a/crates/dispatcher/src/dispatcher/slow_start.rs
+++ b/crates/dispatcher/src/dispatcher/slow_start.rs
@@ -19,15 +19,15 @@
     }
 
     /// Returns whether a worker is known and warming up.
-    pub(super) fn is_warming_up(&self, index: usize) -> bool {
-        self.workers.get(index).is_some_and(|worker| self.slow_start_weight(worker).is_some())
+    pub(super) fn is_warming_up(&self, worker_index: usize) -> bool {
+        self.workers.get(worker_index).is_some_and(|worker| self.slow_start_weight(worker).is_some())
     }
 
     /// Returns how much of the traffic a worker is to get, where a usual one gets 1. What a warming worker
     /// can do is a part of the fleet's, and so it is loaded as much as the others are, far below what
     /// overloads it.
-    pub(super) fn traffic_weight(&self, index: usize) -> Option<f64> {
-        let worker = self.workers.get(index)?;
+    pub(super) fn traffic_weight(&self, worker_index: usize) -> Option<f64> {
+        let worker = self.workers.get(worker_index)?;
         Some(self.workers.relative_size(worker) * self.slow_start_weight(worker).unwrap_or(1.0))
     }
 
@@ -40,31 +40,38 @@
 
     /// Returns whether a worker is warm, or may be sent the job while it is warming up: by its bucket or a
     /// draw.
-    pub(super) fn slow_start_admits(&self, index: usize, job: &Job) -> bool {
-        let Some(worker) = self.workers.get(index) else { return false };
+    pub(super) fn slow_start_admits(&self, worker_index: usize, job: &Job) -> bool {
+        let Some(worker) = self.workers.get(worker_index) else { return false };
         let Some(limit) = self.slow_start_limit(worker, job.request.class) else { return true };
         match limit.pacing {
-            Pacing::RandomDraw => self.is_drawn(index, worker, job) && job.attempts.is_empty(),
+            Pacing::RandomDraw => {
+                self.has_admitting_draw(worker_index, worker, job) && job.attempts.is_empty()
+            }
             Pacing::TokenBucket => worker.bucket.covers(&limit, job.request.slots, self.now),
         }
     }
 
     /// Returns whether a draw that still holds admits the job to a warming worker.
-    fn is_drawn(&self, index: usize, worker: &Worker, job: &Job) -> bool {
+    fn has_admitting_draw(&self, worker_index: usize, worker: &Worker, job: &Job) -> bool {
         let validity = self.settings.limits.overload_duration / DRAW_VALIDITY_DIVISOR;
-        let draw = find_draw(index, worker, job);
+        let draw = find_draw(worker_index, worker, job);
         draw.is_some_and(|draw| draw.is_admitted && self.now <= draw.drawn_at + validity)
     }
 
     /// Draws whether the job may go to a warming worker, the first time that it is its turn there.
-    pub(super) fn draw_slow_start(&mut self, index: usize, id: RequestId) {
-        let (Some(job), Some(worker)) = (self.jobs.get(&id), self.workers.get(index)) else { return };
+    pub(super) fn draw_slow_start_admission(&mut self, worker_index: usize, request_id: RequestId) {
+        let (Some(job), Some(worker)) = (self.jobs.get(&request_id), self.workers.get(worker_index)) else {
+            return;
+        };
         let Some(limit) = self.slow_start_limit(worker, job.request.class) else { return };
-        let is_drawn = find_draw(index, worker, job).is_some();
-        if is_drawn || !(self.has_capacity_for(index, job) || self.can_be_probed(index, job)) {
+        let is_drawn = find_draw(worker_index, worker, job).is_some();
+        if is_drawn
+            || !(self.is_open_ignoring_slow_start(worker_index, job)
+                || self.can_report_in_time(worker_index, job))
+        {
             return;
         }
-        let Some(weight) = self.traffic_weight(index) else { return };
+        let Some(weight) = self.traffic_weight(worker_index) else { return };
         let request = AdmissionRequest {
             now: self.now,
             allowed_per_s: limit.jobs_per_s,
@@ -72,15 +79,21 @@
             weight,
             random: self.rng.f64(),
         };
-        let Some(worker) = self.workers.get_mut(index) else { return };
+        let Some(worker) = self.workers.get_mut(worker_index) else { return };
         let is_admitted = self.slow_start_admission.admits(&request, &mut worker.slow_start_requests);
-        if let Some(job) = self.jobs.get_mut(&id) {
-            job.slow_start_draws.push(SlowStartDraw { worker: index, drawn_at: self.now, is_admitted });
+        if let Some(job) = self.jobs.get_mut(&request_id) {
+            job.slow_start_draws.push(SlowStartDraw {
+                worker: worker_index,
+                drawn_at: self.now,
+                is_admitted,
+            });
         }
     }
 }
 
 /// Returns the job's draw for a worker since that last started.
-fn find_draw<'a>(index: usize, worker: &Worker, job: &'a Job) -> Option<&'a SlowStartDraw> {
-    job.slow_start_draws.iter().find(|draw| draw.worker == index && draw.drawn_at >= worker.valid_since)
+fn find_draw<'a>(worker_index: usize, worker: &Worker, job: &'a Job) -> Option<&'a SlowStartDraw> {
+    job.slow_start_draws
+        .iter()
+        .find(|draw| draw.worker == worker_index && draw.drawn_at >= worker.valid_since)
 }
