--- a/crates/dispatcher/src/dispatcher/membership.rs
+++ b/crates/dispatcher/src/dispatcher/membership.rs
@@ -1,4 +1,4 @@
-//! The list of workers, and the rules on which all dispatchers agree.
+//! Updates of the worker list, and of the rules on which all dispatchers agree.
 
 use std::sync::Arc;
 
@@ -16,18 +16,20 @@
 use crate::worker_entry::{WorkerEntry, WorkerStatus};
 use crate::worker_table::EntryChange;
 
-/// Longest delay (ns) of the first probe of a new worker, for each dispatcher that does the same.
+/// Longest delay (ns) of the first probe of a new worker, per dispatcher: all of them probe the worker.
 const MAX_FIRST_PROBE_DELAY_PER_DISPATCHER: Nanos = 3 * MILLISECOND;
-/// Backoff (ns) before membership changes are subscribed to again. All dispatchers fail together when the
-/// list service is overloaded, so it grows with their number.
+/// Backoff (ns) before the dispatcher subscribes to membership changes again, without the part per
+/// dispatcher.
 const SUBSCRIBE_BACKOFF: Nanos = 500 * MILLISECOND;
+/// Part of the backoff (ns) per dispatcher. All dispatchers fail at the same time when the list service is
+/// overloaded, so the backoff grows with their number.
 const SUBSCRIBE_BACKOFF_PER_DISPATCHER: Nanos = 10 * MILLISECOND;
-/// The part (1/n) of an unsubscribed list's validity that the backoff may take: the list must not lapse for
-/// it.
+/// The backoff takes at most 1/n of the validity of an unsubscribed list, so that the list does not lapse
+/// during the backoff.
 const MAX_BACKOFF_DIVISOR: Nanos = 2;
 
 impl Dispatcher {
-    /// Takes in a list of workers.
+    /// Applies a list of workers.
     pub(super) fn apply_worker_list(
         &mut self,
         kind: ListKind,
@@ -35,8 +37,8 @@
         actions: &mut Vec<Action>,
     ) {
         if self.settings.requires_subscription && !self.has_subscribed {
-            // Without a subscription the list grows old, and this dispatcher answers for changes that it
-            // misses.
+            // Without a subscription the list becomes outdated, and this dispatcher is responsible for the
+            // changes that it misses.
             self.has_subscribed = true;
             actions.push(Action::Subscribe);
         }
@@ -45,20 +47,21 @@
             ListKind::Changes | ListKind::Stale => {}
             ListKind::Complete | ListKind::Cached => self.workers.retain_listed(&entries),
         }
-        // All of them first: how many there are decides whether each is probed for a start.
+        // All entries are counted before any is applied, because the number of ready workers decides whether
+        // a new worker is probed at once.
         self.workers.count_ready(&entries);
         self.arrival_rate.workers_listed(self.workers.ready_count());
         for entry in entries {
             self.apply_entry(entry);
         }
         self.workers.update_mean_registered_size();
-        let stays_stale = self.workers.list_is_stale() && kind == ListKind::Cached;
-        if self.workers.set_list_is_stale(kind == ListKind::Stale || stays_stale) {
+        let remains_stale = self.workers.list_is_stale() && kind == ListKind::Cached;
+        if self.workers.set_list_is_stale(kind == ListKind::Stale || remains_stale) {
             self.update_all_open_states(actions);
         }
     }
 
-    /// Starts the backoff after which membership changes are subscribed to again.
+    /// Starts the backoff after which the dispatcher subscribes to membership changes again.
     fn schedule_subscription(&mut self) {
         if !self.settings.requires_subscription {
             return;
@@ -69,7 +72,7 @@
         self.timers.start(self.now + delay.min(max_delay), Timer::Subscribe);
     }
 
-    /// Takes in one entry of the list.
+    /// Applies one entry of a worker list.
     fn apply_entry(&mut self, entry: WorkerEntry) {
         let worker_index = entry.worker.0 as usize;
         match self.workers.update_entry(&entry) {
@@ -84,9 +87,9 @@
         let worker_index = entry.worker.0 as usize;
         let is_ready = entry.status == WorkerStatus::Ready;
         let timer_number =
-            self.workers.get(worker_index).map_or(0, |former| former.probe.next_timer_number());
-        let random = entry.started.map_or(0.0, |_| self.rng.f64());
-        let bucket = TokenBucket::new(self.settings.dispatchers, random, self.now);
+            self.workers.get(worker_index).map_or(0, |previous| previous.probe.next_timer_number());
+        let bucket_jitter = entry.started.map_or(0.0, |_| self.rng.f64());
+        let bucket = TokenBucket::new(self.settings.dispatchers, bucket_jitter, self.now);
         let mut worker = Worker::new(entry, bucket, timer_number, self.now);
         worker.is_ready = is_ready;
         if is_ready && self.settings.can_probe && !self.has_low_traffic() {
@@ -100,7 +103,7 @@
         self.workers.insert(worker);
     }
 
-    /// Takes in rules on which all dispatchers agree.
+    /// Applies new rules, or extends the validity of the current ones.
     pub(super) fn apply_rules(&mut self, rules: Arc<Rules>, valid_until: Nanos, actions: &mut Vec<Action>) {
         self.settings.dispatchers = rules.quota_shares.max(1);
         if self.active_rules.update(rules, valid_until, self.now) == RulesUpdate::Extended {
@@ -112,14 +115,14 @@
         self.update_all_open_states(actions);
     }
 
-    /// Cancels the attempts that drained workers have not started, where another attempt is allowed.
+    /// Cancels the attempts that drained workers have not started, if their class allows another attempt.
     fn cancel_attempts_at_drained_workers(&self, actions: &mut Vec<Action>) {
         let is_drained = |worker_index: usize| {
             let worker = self.workers.get(worker_index);
             worker.is_some_and(|worker| self.active_rules.drains(worker.entry.address_hash))
         };
-        let may_run_again = |job: &Job| self.class_of(job).idempotency != Idempotency::NonIdempotent;
-        for (request, job) in self.jobs.iter().filter(|(_, job)| may_run_again(job)) {
+        let is_repeatable = |job: &Job| self.class_of(job).idempotency != Idempotency::NonIdempotent;
+        for (request, job) in self.jobs.iter().filter(|(_, job)| is_repeatable(job)) {
             for (number, attempt) in job.attempts.iter().enumerate() {
                 if attempt.is_unconfirmed() && is_drained(attempt.worker) {
                     actions.push(Action::Cancel { request: *request, attempt: number as u32 });
--- a/crates/dispatcher/src/dispatcher/mod.rs
+++ b/crates/dispatcher/src/dispatcher/mod.rs
@@ -1,15 +1,16 @@
-//! The dispatcher's decisions.
+//! The dispatch algorithm, a state machine that turns events into actions.
 //!
-//! A request arrives, is judged to be within its tenant's quota or over it, and goes to an open worker: one
-//! whose last probed free slots, less own sends since (own ends give back), plus K, cover it. With none open
-//! it is held, in arrival order, until a worker reopens, and rejected with a Retry-After once it has waited
-//! for so long that an answer would come too late. A worker that no longer covers a job is closed and probed
-//! after tau; open ones are not probed. An attempt that ends without a result sends the request back to the
-//! hold queue where its class allows another attempt, and else to its final answer. Shortly before the client
-//! gives up, whatever is still open is answered.
+//! An arriving request is classified as within or over its tenant's quota and sent to an open worker. A
+//! worker is open for a job while its last probed free slots, less the slots of this dispatcher's own sends
+//! since then (jobs that end return theirs), plus K, cover the job. If no worker is open, the request is
+//! held, in arrival order, until a worker reopens. It is rejected with a Retry-After once it has been held so
+//! long that an answer would come too late. A worker that no longer covers a job is closed and is probed
+//! after tau; open workers are not probed. An attempt that ends without a result returns the request to the
+//! hold queue if its class allows another attempt; otherwise the request gets its final answer. A request
+//! that is still open shortly before its client gives up gets its final answer then.
 //!
-//! A dispatcher that sends each worker next to nothing ("low traffic") probes instead when a job needs it:
-//! the job's candidates, one after the other.
+//! A dispatcher that sends each worker only a few jobs ("low traffic") does not probe closed workers on a
+//! schedule. It probes a job's candidates one after the other when the job needs them.
 
 mod admission;
 mod attempts;
@@ -37,40 +38,40 @@
 use crate::worker_load::{FleetFreeShare, MAX_REPORT_AGE};
 use crate::worker_table::WorkerTable;
 
-/// Each delay is drawn evenly from half of it to one and a half times it, so that workers that close together
-/// do not reopen together.
+/// Smallest factor by which jitter multiplies a delay; the largest is 2 less this factor. Workers that close
+/// at the same time thus do not reopen at the same time.
 const MIN_JITTER_FACTOR: f64 = 0.5;
-/// A dispatcher has little traffic that sends a worker fewer jobs than this in a report's age: its own sends
-/// then say next to nothing of how the worker fares.
+/// Traffic is low while the dispatcher sends fewer jobs than this to each ready worker within
+/// [`MAX_REPORT_AGE`]. Its own sends then say almost nothing about a worker's load.
 const LOW_TRAFFIC_MAX_JOBS_PER_WORKER: f64 = 0.5;
-/// How long (ns) a report is good for where traffic is low.
+/// How long (ns) a load report stays valid where traffic is low.
 const LOW_TRAFFIC_MAX_REPORT_AGE: Nanos = 300 * MILLISECOND;
-/// A probe that takes longer than this (ns) no longer keeps a job from its next candidate.
+/// How long (ns) a job waits for the probe of one candidate before it continues with the next candidate.
 const MAX_CANDIDATE_PROBE_WAIT: Nanos = 30 * MILLISECOND;
-/// Requests of which the keys are remembered.
+/// Number of recent requests from which the frequency of keys is estimated.
 const KEY_FREQUENCY_CAPACITY: f64 = 400.0;
 
-/// One dispatcher's decisions, as a state machine without I/O.
+/// Decides where and when one dispatcher sends its requests, as a state machine without I/O.
 pub struct Dispatcher {
     settings: Settings,
     rng: fastrand::Rng,
     now: Nanos,
     timers: TimerQueue<Timer>,
-    /// When all requests must be answered, for the dispatcher shuts down.
+    /// By when the shutdown requires an answer to every request; `Nanos::MAX` before a shutdown.
     shutdown_deadline: Nanos,
     workers: WorkerTable,
-    /// Whether membership changes have been subscribed to.
+    /// Whether the first subscription to membership changes has been requested.
     has_subscribed: bool,
     active_rules: ActiveRules,
     jobs: BTreeMap<RequestId, Job>,
-    /// Requests that have arrived.
+    /// Number of accepted requests, by which jobs are numbered in arrival order.
     arrival_count: u64,
     held_requests: HeldRequests,
     quotas: Quotas,
     arrival_rate: ArrivalRate,
     class_stats: Vec<ClassStats>,
     key_frequency: KeyFrequency,
-    /// Mean traffic weight of the workers, as of the last candidates that were ranked.
+    /// Mean traffic weight of the workers in the last ranking of candidates.
     mean_traffic_weight: f64,
     service_rates: ServiceRates,
     slow_start_admission: SlowStartAdmission,
@@ -79,11 +80,11 @@
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher that knows no workers. Its random choices follow from the seed.
+    /// Creates a dispatcher without workers. All its random choices derive from `seed`.
     ///
     /// # Errors
     ///
-    /// Returns an error if no decisions can be made by the settings.
+    /// Returns the first setting that is missing or impossible.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Dispatcher {
@@ -110,8 +111,8 @@
         })
     }
 
-    /// Takes in one event at its time, and appends what is to be done about it, in order. A time before that
-    /// of an earlier event counts as that one.
+    /// Processes one event that occurs at `now`, and appends the resulting actions in the order in which they
+    /// must be carried out. A time before that of an earlier event is replaced by the earlier event's time.
     pub fn handle(&mut self, now: Nanos, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.handle_event(event, actions);
@@ -147,8 +148,8 @@
             }
             Event::Shutdown { deadline } => self.begin_shutdown(deadline),
             Event::Rules { rules, valid_until } => self.apply_rules(rules, valid_until, actions),
-            // A wake-up may come a little early, where the caller's clock is coarser: the next is requested
-            // anew.
+            // A caller with a coarser clock may wake the dispatcher slightly early. The requested wake-up
+            // then counts as delivered, and the next one is requested.
             Event::Wake => self.timers.note_wake(self.now + self.settings.clock_resolution),
         }
     }
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Moves the deadline of all requests up to that of the shutdown.
+    /// Limits the deadline of all current and later requests to the deadline of the shutdown.
     fn begin_shutdown(&mut self, deadline: Nanos) {
         self.shutdown_deadline = deadline.min(self.shutdown_deadline);
         for request in self.jobs.keys() {
@@ -175,23 +176,23 @@
         }
     }
 
-    /// Returns a delay (ns) drawn from around the given one.
+    /// Returns a delay (ns) with jitter, drawn evenly from half the given delay to one and a half times it.
     fn jittered(&mut self, delay: Nanos) -> Nanos {
         let factor = MIN_JITTER_FACTOR + self.rng.f64() * (2.0 - MIN_JITTER_FACTOR - MIN_JITTER_FACTOR);
         (delay as f64 * factor) as Nanos
     }
 
-    /// Returns the class of a job's request.
+    /// Returns the settings of the class of a job's request.
     fn class_of(&self, job: &Job) -> &Class {
         &self.settings.classes[job.request.class as usize]
     }
 
-    /// Returns the jobs that arrive in the age of a report.
+    /// Returns the expected number of requests that arrive within [`MAX_REPORT_AGE`].
     fn arrivals_per_report_age(&self) -> f64 {
         self.arrival_rate.per_s() * MAX_REPORT_AGE as f64 / NANOS_PER_SECOND
     }
 
-    /// Returns whether the dispatcher sends each worker next to nothing.
+    /// Returns whether workers can be probed and traffic is low ([`LOW_TRAFFIC_MAX_JOBS_PER_WORKER`]).
     fn has_low_traffic(&self) -> bool {
         let limit = LOW_TRAFFIC_MAX_JOBS_PER_WORKER * self.workers.ready_count() as f64;
         self.settings.can_probe && self.arrivals_per_report_age() < limit
--- a/crates/dispatcher/src/dispatcher/slow_start.rs
+++ b/crates/dispatcher/src/dispatcher/slow_start.rs
@@ -1,4 +1,4 @@
-//! What workers that have just started are sent.
+//! Limits on the jobs that are sent to workers in slow start.
 
 use super::Dispatcher;
 use crate::ids::RequestId;
@@ -8,38 +8,40 @@
 use crate::time::Nanos;
 use crate::worker::Worker;
 
-/// The part (1/n) of an overload window for which a draw holds: jobs that wait, all freed at once, add up to
-/// that much of a window's more.
+/// A draw stays valid for 1/n of the overload window (`overload_duration`). Jobs that wait with a valid draw
+/// may all be sent at once, which adds at most 1/n of a window's jobs to a window.
 const DRAW_VALIDITY_DIVISOR: Nanos = 2;
 
 impl Dispatcher {
-    /// Returns the share of its capacity that a warming worker has at least; `None` if it is warm.
+    /// Returns the smallest share of its capacity that a warming worker has now; `None` if the worker is
+    /// warm.
     pub(super) fn slow_start_weight(&self, worker: &Worker) -> Option<f64> {
         self.settings.limits.slow_start_weight(worker.entry.started, self.now, 0)
     }
 
-    /// Returns whether a worker is known and warming up.
+    /// Returns whether a worker has been listed and is warming up.
     pub(super) fn is_warming_up(&self, worker_index: usize) -> bool {
         self.workers.get(worker_index).is_some_and(|worker| self.slow_start_weight(worker).is_some())
     }
 
-    /// Returns how much of the traffic a worker is to get, where a usual one gets 1. What a warming worker
-    /// can do is a part of the fleet's, and so it is loaded as much as the others are, far below what
-    /// overloads it.
+    /// Returns a worker's share of the traffic, relative to a typical warm worker with weight 1. A warming
+    /// worker gets traffic in proportion to its capacity: it is as highly utilized as the other workers, far
+    /// below the rate that overloads it.
     pub(super) fn traffic_weight(&self, worker_index: usize) -> Option<f64> {
         let worker = self.workers.get(worker_index)?;
         Some(self.workers.relative_size(worker) * self.slow_start_weight(worker).unwrap_or(1.0))
     }
 
-    /// Returns what this dispatcher may send a worker of a class's jobs; `None` if the worker is warm.
+    /// Returns the limit on the jobs of a class that this dispatcher may send to a worker; `None` if the
+    /// worker is warm.
     pub(super) fn slow_start_limit(&self, worker: &Worker, class: u32) -> Option<SlowStartLimit> {
         let pacing = if self.has_low_traffic() { Pacing::RandomDraw } else { Pacing::TokenBucket };
         let (entry, bucket) = (&worker.entry, &worker.bucket);
         SlowStartLimit::new(&self.settings, &self.service_rates, entry, bucket, class, pacing, self.now)
     }
 
-    /// Returns whether a worker is warm, or may be sent the job while it is warming up: by its bucket or a
-    /// draw.
+    /// Returns whether a worker is warm, or its token bucket or a random draw admits the job while the worker
+    /// is warming up.
     pub(super) fn slow_start_admits(&self, worker_index: usize, job: &Job) -> bool {
         let Some(worker) = self.workers.get(worker_index) else { return false };
         let Some(limit) = self.slow_start_limit(worker, job.request.class) else { return true };
@@ -51,21 +53,22 @@
         }
     }
 
-    /// Returns whether a draw that still holds admits the job to a warming worker.
+    /// Returns whether a draw that is still valid admits the job to a warming worker.
     fn has_admitting_draw(&self, worker_index: usize, worker: &Worker, job: &Job) -> bool {
         let validity = self.settings.limits.overload_duration / DRAW_VALIDITY_DIVISOR;
         let draw = find_draw(worker_index, worker, job);
         draw.is_some_and(|draw| draw.is_admitted && self.now <= draw.drawn_at + validity)
     }
 
-    /// Draws whether the job may go to a warming worker, the first time that it is its turn there.
+    /// Draws whether the job may go to a warming worker. Each job draws once per worker, when the worker is
+    /// otherwise open for the job or can be probed for it.
     pub(super) fn draw_slow_start_admission(&mut self, worker_index: usize, request_id: RequestId) {
         let (Some(job), Some(worker)) = (self.jobs.get(&request_id), self.workers.get(worker_index)) else {
             return;
         };
         let Some(limit) = self.slow_start_limit(worker, job.request.class) else { return };
-        let is_drawn = find_draw(worker_index, worker, job).is_some();
-        if is_drawn
+        let has_drawn = find_draw(worker_index, worker, job).is_some();
+        if has_drawn
             || !(self.is_open_ignoring_slow_start(worker_index, job)
                 || self.can_report_in_time(worker_index, job))
         {
@@ -91,7 +94,7 @@
     }
 }
 
-/// Returns the job's draw for a worker since that last started.
+/// Returns the draw that the job made for a worker since the worker last started.
 fn find_draw<'a>(worker_index: usize, worker: &Worker, job: &'a Job) -> Option<&'a SlowStartDraw> {
     job.slow_start_draws
         .iter()
