--- a/crates/dispatcher/src/dispatcher/admission.rs
+++ b/crates/dispatcher/src/dispatcher/admission.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request: admission, the hold queue and the final answer.
+//! Admission of requests, the hold queue and the final answer.
 
 use std::ops::Bound;
 
@@ -13,32 +13,33 @@
 use crate::time::{Nanos, MILLISECOND};
 use crate::timers::Timer;
 
-/// Least slots that a job is taken to need.
+/// Smallest slot demand of a job; smaller ones are raised to it.
 const MIN_JOB_SLOTS: f64 = 0.01;
-/// Where traffic is low a request waits, held or unstarted, for its latency objective and this part of a
-/// usual run: what waits longer is mostly late, and run all the same it takes the slots of those behind it.
+/// Where traffic is low, a request may wait, held or sent but not started, for its latency objective plus
+/// this multiple of the mean run time. A request that waits longer mostly ends late, and its run would take
+/// slots from the requests behind it.
 const LOW_TRAFFIC_HOLD_FACTOR: f64 = 0.3;
-/// The part of `latency_stretch` that the run itself takes, with some time for a run longer than usual. The
-/// rest may be spent waiting.
+/// Part of `latency_stretch` that is set aside for the run itself, with a margin for runs longer than the
+/// mean. The rest may be spent waiting.
 const RUN_TIME_STRETCH: f64 = 1.3;
-/// A client that is rejected where traffic is low comes back after about this long (ns), mostly to another
-/// dispatcher.
+/// Mean Retry-After (ns) of a rejection where traffic is low. The retry mostly goes to another dispatcher.
 const LOW_TRAFFIC_RETRY_AFTER: Nanos = 100 * MILLISECOND;
-/// A first request may be given this part (1/n) of its class's deadline, or less: a retry has more left, for
-/// it comes a Retry-After or two later and not much more.
+/// A request with less than 1/n of its class's deadline left counts as a first request with a short deadline.
+/// A retry has more time left, because it comes only one or two Retry-Afters after the first request.
 const SHORT_DEADLINE_DIVISOR: Nanos = 4;
 
 /// The final answer to a request that no attempt has served.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum FinalAnswer {
-    /// It was rejected: a retry is harmless.
+    /// The request is rejected: a retry is safe.
     Reject,
-    /// It failed: it may have run.
+    /// The request fails: it may have run, or no worker can run it.
     Fail,
 }
 
 impl Dispatcher {
-    /// Takes in a request that arrives.
+    /// Accepts and dispatches an arriving request, or rejects it if the rules do not grant its tenant another
+    /// request now.
     pub(super) fn accept_request(&mut self, mut request: Request, actions: &mut Vec<Action>) {
         if self.jobs.contains_key(&request.id) {
             return;
@@ -61,14 +62,14 @@
         self.dispatch(request_id, actions);
     }
 
-    /// Replaces impossible figures by the least possible ones, and an unknown class by the last.
+    /// Replaces invalid demands by the smallest valid ones, and an unknown class by the last class.
     fn sanitize_request(&self, request: &mut Request) {
-        let at_least = |figure: f64, least: f64| {
-            let is_possible = figure.is_finite() && figure >= 0.0;
-            if is_possible {
-                figure.max(least)
+        let at_least = |demand: f64, min: f64| {
+            let is_valid = demand.is_finite() && demand >= 0.0;
+            if is_valid {
+                demand.max(min)
             } else {
-                least
+                min
             }
         };
         request.slots = at_least(request.slots, MIN_JOB_SLOTS);
@@ -105,31 +106,33 @@
         }
     }
 
-    /// Returns when a request must have its final answer, a little before its client gives up.
+    /// Returns by when a request must have its final answer: shortly before its client gives up.
     fn request_deadline(&self, request: &Request) -> Nanos {
         let margin = 2 * self.settings.clock_resolution;
         let deadline = self.now + request.time_left.saturating_sub(margin);
         deadline.min(self.shutdown_deadline)
     }
 
-    /// Returns until when a request may be held as one that can still be answered in time.
+    /// Returns until when a request may be held and can still be answered in time.
     fn hold_deadline(&self, request: &Request) -> Nanos {
         let class = &self.settings.classes[request.class as usize];
         let stats = &self.class_stats[request.class as usize];
-        // A retry has less time left than a first request: its objective began with that one. With hardly any
-        // left it is more likely the first request of a client in a hurry, whose objective begins now.
-        let is_hurried = request.time_left < stats.deadline() / SHORT_DEADLINE_DIVISOR;
-        let elapsed = if is_hurried { 0 } else { stats.deadline().saturating_sub(request.time_left) };
+        // A retry has less time left than a first request, and its objective began with the first request. A
+        // request with very little time left is more likely the first request of a client with a short
+        // deadline, and its objective begins now.
+        let has_short_deadline = request.time_left < stats.deadline() / SHORT_DEADLINE_DIVISOR;
+        let elapsed_since_first_request =
+            if has_short_deadline { 0 } else { stats.deadline().saturating_sub(request.time_left) };
         let hold_factor = if self.has_low_traffic() {
             LOW_TRAFFIC_HOLD_FACTOR
         } else {
             (class.latency_stretch - RUN_TIME_STRETCH).max(0.0)
         };
         let max_hold = class.latency_objective as f64 + hold_factor * stats.mean_run_ns();
-        (self.now + max_hold as Nanos).saturating_sub(elapsed)
+        (self.now + max_hold as Nanos).saturating_sub(elapsed_since_first_request)
     }
 
-    /// Sends the request to an open worker, or holds it.
+    /// Sends the request to an open worker, holds it, or gives its final answer.
     pub(super) fn dispatch(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         if let Some(worker) = self.pick_worker(request_id) {
             return self.send_attempt(request_id, worker, actions);
@@ -147,35 +150,36 @@
         self.probe_next_candidate(request_id, search, actions);
     }
 
-    /// Returns whether a late answer to the request has any value.
+    /// Returns whether an answer after the latency objective still has value.
     pub(super) fn late_answer_has_value(&self, job: &Job) -> bool {
         self.class_of(job).late_weight_share > 0.0
     }
 
-    /// Returns whether the request may be held on once an answer in time is no longer possible.
+    /// Returns whether the request may stay held after an answer in time has become impossible.
     fn may_be_held_late(&self, job: &Job) -> bool {
         !job.is_over_quota() && self.late_answer_has_value(job) && self.may_start_attempt(job)
     }
 
-    /// Puts the request into the hold queue, or moves it there to another rank.
+    /// Adds the request to the hold queue, or moves it to another rank of the queue.
     fn hold(&mut self, request_id: RequestId, rank: HoldRank) {
         let Some(job) = self.jobs.get_mut(&request_id) else { return };
         let position = HoldPosition { rank, arrival: job.arrival };
-        let former = job.hold_position.replace(position);
-        self.held_requests.put(request_id, former, position, &job.candidates);
+        let previous_position = job.hold_position.replace(position);
+        self.held_requests.put(request_id, previous_position, position, &job.candidates);
         let (hold_until, slots, memory) = (job.hold_until, job.request.slots, job.request.memory);
         let send_by = self.jobs.get(&request_id).map_or(hold_until, |job| self.resend_deadline(job));
         let timeout = if rank == HoldRank::Late { send_by } else { hold_until.min(send_by) };
         self.timers.start(timeout, Timer::HoldTimeout(request_id));
         if self.held_requests.raise_requirements(slots, memory) {
-            // A wide job is waiting: workers that cover only narrow ones are closed to it, and probed.
+            // The job demands more slots or memory than any other held job. Workers that do not cover it
+            // count as closed from now on, and are probed.
             for worker in 0..self.workers.len() {
                 self.update_open_state(worker);
             }
         }
     }
 
-    /// Removes the request from the hold queue, if it is there.
+    /// Removes the request from the hold queue, if it is held.
     pub(super) fn remove_from_hold_queue(&mut self, request_id: RequestId) {
         let Some(job) = self.jobs.get_mut(&request_id) else { return };
         if let Some(position) = job.hold_position.take() {
@@ -183,11 +187,12 @@
         }
     }
 
-    /// Answers a held request, or holds it on as a late one, once an answer in time is no longer possible.
+    /// Gives the final answer to a held request that can no longer be answered in time, or keeps it held as a
+    /// late request.
     pub(super) fn handle_hold_timeout(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&request_id) else { return };
-        let is_over = self.now >= job.hold_until.min(self.resend_deadline(job));
-        if job.hold_position.is_none() || !is_over {
+        let has_expired = self.now >= job.hold_until.min(self.resend_deadline(job));
+        if job.hold_position.is_none() || !has_expired {
             return;
         }
         if self.may_be_held_late(job) {
@@ -197,7 +202,7 @@
         }
     }
 
-    /// Gives held requests to a worker that may have reopened, in their order.
+    /// Sends held requests to a worker that may have reopened, in the order of the hold queue.
     pub(super) fn drain_hold_queue(&mut self, worker_index: usize, actions: &mut Vec<Action>) {
         let mut after = Bound::Unbounded;
         let min_free_slots = if self.has_low_traffic() { 0.0 } else { 1.0 - K };
@@ -208,18 +213,20 @@
             if worker.is_ejected() || free_slots.is_none_or(|free| free < min_free_slots) {
                 return;
             }
-            let may_take = self.admits_held_request(worker_index, request_id);
+            let is_admitted = self.admits_held_request(worker_index, request_id);
             let Some(job) = self.jobs.get(&request_id) else { continue };
-            if may_take && self.may_start_attempt(job) {
+            if is_admitted && self.may_start_attempt(job) {
                 self.send_attempt(request_id, worker_index, actions);
             } else if job.has_least_demand() && job.candidates.is_empty() {
-                // Not even for the narrowest: what waits behind it in this rank has no better chance.
+                // The worker is not open even for the smallest demand, so the requests behind this one in its
+                // rank have no better chance.
                 after = Bound::Excluded(HoldPosition::end_of(position.rank));
             }
         }
     }
 
-    /// Returns whether it is a held request's turn at a worker, and the worker is open for it.
+    /// Returns whether a worker is open for a held request and, where traffic is low, is the request's first
+    /// open candidate.
     fn admits_held_request(&mut self, worker_index: usize, request_id: RequestId) -> bool {
         if self.has_low_traffic() {
             return self.first_open_candidate(request_id) == Some(worker_index);
@@ -227,21 +234,22 @@
         self.jobs.get(&request_id).is_some_and(|job| self.is_open(worker_index, job))
     }
 
-    /// Gives the final answer, unless it has been given: a rejection where that is harmless, else a failure.
+    /// Gives the final answer unless an answer has been given or begun: a rejection if a retry is safe,
+    /// otherwise a failure.
     pub(super) fn reject_or_fail(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&request_id).filter(|job| !job.is_finished && !job.is_streaming) else {
             return;
         };
-        let may_be_repeated = matches!(
+        let is_repeatable_at_any_worker = matches!(
             self.class_of(job).idempotency,
             Idempotency::Idempotent | Idempotency::IdempotentWithKey(DeduplicationScope::All)
         );
-        let is_harmless = may_be_repeated || job.first_possible_run().is_none();
-        let answer = if is_harmless { FinalAnswer::Reject } else { FinalAnswer::Fail };
+        let is_retry_safe = is_repeatable_at_any_worker || job.first_possible_run().is_none();
+        let answer = if is_retry_safe { FinalAnswer::Reject } else { FinalAnswer::Fail };
         self.give_final_answer(request_id, answer, actions);
     }
 
-    /// Gives the final answer, and cancels what is still in flight.
+    /// Gives the final answer, and cancels the attempts in flight.
     pub(super) fn give_final_answer(
         &mut self,
         request_id: RequestId,
@@ -261,15 +269,16 @@
 
     /// Returns the Retry-After (ns) of a rejected request.
     fn retry_after(&mut self) -> Nanos {
-        let longest = self.settings.max_retry_after;
-        // One of many dispatchers that finds nothing open says little of the others, and the objective of a
-        // retry goes on from the first request: soon then, but not at the moment at which all others come
-        // back.
-        let wanted = if self.has_low_traffic() { self.jittered(LOW_TRAFFIC_RETRY_AFTER) } else { longest };
-        self.active_rules.bounded_retry_after(wanted).min(longest)
+        let max_retry_after = self.settings.max_retry_after;
+        // Where traffic is low, one dispatcher without an open worker says little about the many others, and
+        // the objective of a retry runs from its first request. The retry therefore comes soon, with jitter
+        // so that rejected clients do not all come back at the same moment.
+        let preferred =
+            if self.has_low_traffic() { self.jittered(LOW_TRAFFIC_RETRY_AFTER) } else { max_retry_after };
+        self.active_rules.bounded_retry_after(preferred).min(max_retry_after)
     }
 
-    /// Closes a request; what is still in flight is waited for only to give its slots back.
+    /// Marks a request as finished. Its job is kept while attempts are in flight, only to return their slots.
     pub(super) fn finish_request(&mut self, request_id: RequestId) {
         self.remove_from_hold_queue(request_id);
         if let Some(job) = self.jobs.get_mut(&request_id) {
