--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: their sending, progress, outcome and cancellation.
+//! Sending, progress, completion and cancellation of attempts.
 
 use super::admission::FinalAnswer;
 use super::Dispatcher;
@@ -15,10 +15,10 @@
 use crate::worker_entry::WorkerEntry;
 use crate::worker_load::ReportShare;
 
-/// What is known of an attempt that has just ended, and of its request.
+/// An attempt that has just ended, with the properties of its request that the statistics need.
 struct EndedAttempt {
-    request: RequestId,
-    worker: usize,
+    request_id: RequestId,
+    worker_index: usize,
     entry: WorkerEntry,
     sent_at: Nanos,
     first_signal_at: Option<Nanos>,
@@ -29,7 +29,7 @@
 }
 
 impl Dispatcher {
-    /// Sends a request to a worker.
+    /// Starts an attempt of a request at a worker.
     pub(super) fn send_attempt(
         &mut self,
         request_id: RequestId,
@@ -57,7 +57,7 @@
         self.update_open_state(worker_index);
     }
 
-    /// Takes a job out of a warming worker's bucket.
+    /// Takes the tokens for a job out of the bucket of a warming worker.
     fn take_slow_start_tokens(&mut self, worker_index: usize, class: u32, slots: f64) {
         let Some(worker) = self.workers.get(worker_index) else { return };
         let Some(limit) = self.slow_start_limit(worker, class) else { return };
@@ -66,7 +66,7 @@
         self.timers.start(refilled_at, Timer::DrainHoldQueue { worker: worker_index });
     }
 
-    /// Starts the timers after which an attempt without a sign of life is cancelled.
+    /// Starts the timers that check whether an attempt without any signal must be cancelled.
     fn start_hedge_timers(&mut self, attempt_id: AttemptId) {
         let Some(job) = self.jobs.get(&attempt_id.request).filter(|_| self.settings.can_cancel) else {
             return;
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Cancels all attempts of a request. Nobody waits for them: run on, they would take slots for nothing.
+    /// Cancels all attempts of a request that are in flight. Nobody waits for their results, so their runs
+    /// would only take slots.
     pub(super) fn cancel_attempts(&self, request_id: RequestId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&request_id).filter(|_| self.settings.can_cancel) else { return };
         for (number, attempt) in job.attempts.iter().enumerate() {
@@ -92,26 +93,28 @@
         }
     }
 
-    /// Cancels an attempt of which no sign has come, if its worker is silent and its class allows another, or
-    /// if it can only end late now.
+    /// Cancels an attempt without any signal if its worker is silent and another attempt is allowed and
+    /// useful, or if the attempt can only end late.
     pub(super) fn cancel_unconfirmed_attempt(&mut self, attempt_id: AttemptId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&attempt_id.request).filter(|job| !job.is_finished) else { return };
         let attempt = job.attempts.get(attempt_id.number as usize);
         let Some(attempt) = attempt.filter(|attempt| attempt.is_unconfirmed()) else { return };
-        let late_counts = self.late_answer_has_value(job);
-        let another_is_useful = self.now < job.hold_until.max(attempt.sent_at) || late_counts;
-        let another_is_allowed =
+        let late_answer_has_value = self.late_answer_has_value(job);
+        let another_attempt_is_useful =
+            self.now < job.hold_until.max(attempt.sent_at) || late_answer_has_value;
+        let another_attempt_is_allowed =
             self.now < self.resend_deadline(job) && job.attempts.len() < self.settings.max_attempts as usize;
         let worker_is_silent = self.workers.get(attempt.worker).is_some_and(|worker| self.is_silent(worker));
         let useful_until = job.hold_until.max(attempt.sent_at + self.class_of(job).latency_objective);
-        // Not started when it can only be late any more, it would take slots for nothing.
-        let is_useless = self.settings.notifies_job_start && self.now >= useful_until && !late_counts;
-        if is_useless || worker_is_silent && another_is_useful && another_is_allowed {
+        // An attempt that has not started and can only end late would take slots for nothing.
+        let is_too_late =
+            self.settings.notifies_job_start && self.now >= useful_until && !late_answer_has_value;
+        if is_too_late || worker_is_silent && another_attempt_is_useful && another_attempt_is_allowed {
             actions.push(Action::Cancel { request: attempt_id.request, attempt: attempt_id.number });
         }
     }
 
-    /// Notes that an attempt has started, or reported its progress.
+    /// Records that an attempt has started or has reported progress.
     pub(super) fn record_progress(&mut self, attempt_id: AttemptId) {
         let Some(job) = self.jobs.get_mut(&attempt_id.request) else { return };
         let attempt = job.attempts.get_mut(attempt_id.number as usize);
@@ -126,43 +129,43 @@
         }
     }
 
-    /// Counts an attempt as a job at its worker from now on. Those at warming workers count only as long as
-    /// there are no others.
+    /// Starts to measure the service time of an attempt. Attempts at warming workers are measured only until
+    /// warm workers of the kind have been measured.
     fn start_service_time(&mut self, attempt_id: AttemptId) {
         let Some(job) = self.jobs.get_mut(&attempt_id.request) else { return };
         let Some(attempt) = job.attempts.get_mut(attempt_id.number as usize) else { return };
         let kind = attempt.entry.kind;
-        let weight = self.settings.limits.slow_start_weight(attempt.entry.started, self.now, 0);
-        let is_warm = weight.is_none();
+        let slow_start_weight = self.settings.limits.slow_start_weight(attempt.entry.started, self.now, 0);
+        let is_warm = slow_start_weight.is_none();
         if !is_warm && self.service_rates.has_warm_samples(kind) {
             return;
         }
         let worker = self.workers.get(attempt.worker).filter(|_| is_warm);
         let report = worker.and_then(|worker| worker.last_report.as_ref());
-        let others = report.and_then(|report| self.service_rates.jobs_at_worker(kind, report));
-        self.service_rates.job_began(kind, job.request.class, others, self.now);
+        let other_jobs = report.and_then(|report| self.service_rates.jobs_at_worker(kind, report));
+        self.service_rates.job_began(kind, job.request.class, other_jobs, self.now);
         attempt.counted_since = Some(self.now);
     }
 
-    /// Takes in how an attempt ended.
+    /// Processes the end of an attempt.
     pub(super) fn end_attempt(
         &mut self,
         attempt_id: AttemptId,
         outcome: &AttemptOutcome,
         actions: &mut Vec<Action>,
     ) {
-        // The limit as it was before this attempt was measured.
+        // The limit depends on the mean run times, to which this attempt's run time is added below.
         let max_silence = self.max_silence();
         let Some(ended) = self.mark_ended(attempt_id, outcome.outcome) else { return };
         self.record_service_time(&ended, outcome.outcome);
-        let share = self.report_share(ended.worker);
+        let share = self.report_share(ended.worker_index);
         self.update_worker(&ended, outcome, max_silence, &share);
-        self.continue_request(ended.request, outcome, actions);
-        self.update_open_state(ended.worker);
-        self.drain_hold_queue(ended.worker, actions);
+        self.continue_request(ended.request_id, outcome, actions);
+        self.update_open_state(ended.worker_index);
+        self.drain_hold_queue(ended.worker_index, actions);
     }
 
-    /// Marks an attempt as ended; `None` if it is unknown or has ended before.
+    /// Marks an attempt as ended; returns `None` if the attempt is unknown or has already ended.
     fn mark_ended(&mut self, attempt_id: AttemptId, outcome: Outcome) -> Option<EndedAttempt> {
         let job = self.jobs.get_mut(&attempt_id.request)?;
         let attempt =
@@ -170,8 +173,8 @@
         attempt.is_in_flight = false;
         attempt.may_have_run = !outcome.never_ran();
         Some(EndedAttempt {
-            request: attempt_id.request,
-            worker: attempt.worker,
+            request_id: attempt_id.request,
+            worker_index: attempt.worker,
             entry: attempt.entry.clone(),
             sent_at: attempt.sent_at,
             first_signal_at: attempt.first_signal_at,
@@ -182,21 +185,22 @@
         })
     }
 
-    /// Measures the class's runs and the worker's service rate by an attempt.
+    /// Adds an attempt to the mean run time of its class and to the service rate of its worker's kind.
     fn record_service_time(&mut self, ended: &EndedAttempt, outcome: Outcome) {
         if outcome == Outcome::Ok {
             let run = self.now - self.run_start(ended);
             self.class_stats[ended.class as usize].record_run(run as f64);
         }
-        if let Some(began) = ended.counted_since {
-            let weight = self.settings.limits.slow_start_weight(ended.entry.started, self.now, 0);
-            let sample = ServiceSample::of(outcome, weight);
-            self.service_rates.job_ended(ended.entry.kind, ended.class, began, self.now, sample);
+        if let Some(counted_since) = ended.counted_since {
+            let slow_start_weight = self.settings.limits.slow_start_weight(ended.entry.started, self.now, 0);
+            let sample = ServiceSample::of(outcome, slow_start_weight);
+            self.service_rates.job_ended(ended.entry.kind, ended.class, counted_since, self.now, sample);
         }
     }
 
-    /// Returns from when an attempt counts as running. Where traffic is low that is its start, if that is
-    /// notified: otherwise the first sign says how far it is.
+    /// Returns when the run of an attempt began, as counted in the mean run time: when the attempt was sent
+    /// or, where traffic is low and workers notify the start of a job, when its first signal came. Without
+    /// that notification the first signal is a progress report and may come late in the run.
     fn run_start(&self, ended: &EndedAttempt) -> Nanos {
         if !self.has_low_traffic() || !self.settings.notifies_job_start {
             return ended.sent_at;
@@ -204,7 +208,7 @@
         ended.first_signal_at.unwrap_or(ended.sent_at)
     }
 
-    /// Updates what is known of the worker of an attempt, unless it has restarted since.
+    /// Updates the load and health of an attempt's worker, unless the worker has restarted since the sending.
     fn update_worker(
         &mut self,
         ended: &EndedAttempt,
@@ -213,7 +217,7 @@
         share: &ReportShare,
     ) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(ended.worker) else { return };
+        let Some(worker) = self.workers.get_mut(ended.worker_index) else { return };
         if ended.sent_at < worker.valid_since {
             return;
         }
@@ -223,12 +227,13 @@
         match outcome.outcome {
             Outcome::Ok => worker.record_success(),
             Outcome::Error | Outcome::Timeout => worker.record_failure(FailureWeight::Full),
-            // Connections break, and jobs are killed, one by one; the next probe shows whether the worker has
-            // gone.
+            // At healthy workers too, single connections break and single jobs are killed. The next probe
+            // shows whether the worker has gone.
             Outcome::Rejected | Outcome::Reset | Outcome::ConnectFailed => {
                 worker.record_failure(FailureWeight::Minor);
             }
-            // Cancelled for its silence: the worker may hang, and must not look idle for it.
+            // The attempt was cancelled because the worker is silent. The worker may hang, and the slots that
+            // the attempt returns must not make it look idle.
             Outcome::Cancelled if order == SignalOrder::First && worker_is_silent => {
                 worker.record_failure(FailureWeight::Full);
             }
@@ -244,7 +249,7 @@
         }
     }
 
-    /// Continues with a request after one of its attempts has ended.
+    /// Finishes a request or dispatches it again after one of its attempts has ended.
     fn continue_request(
         &mut self,
         request_id: RequestId,
@@ -256,7 +261,7 @@
         if job.is_finished {
             self.finish_request(request_id);
         } else if outcome.outcome == Outcome::InvalidJob {
-            // Any other worker would say the same, and so would they to the client's retry.
+            // Every other worker would reject the job too, and so would the worker of a retry.
             self.quotas.refund(job.request.tenant.filter(|_| !job.is_over_quota()));
             self.give_final_answer(request_id, FinalAnswer::Fail, actions);
         } else if !job.has_attempt_in_flight() {
@@ -265,15 +270,15 @@
         }
     }
 
-    /// Ranks the candidates anew where traffic is low: in the cell of the worker that may have run the
-    /// request, which is where a repeat is dropped.
+    /// Ranks a job's candidates again where traffic is low. After an attempt that may have run, only workers
+    /// in the cell of its worker are candidates, because a repeat is deduplicated there.
     fn update_candidates(&mut self, request_id: RequestId) {
         if !self.has_low_traffic() {
             return;
         }
         let Some(job) = self.jobs.get(&request_id) else { return };
-        let earlier = job.last_possible_worker().and_then(|index| self.workers.get(index));
-        let cell = earlier.map(|worker| worker.entry.cell);
+        let earlier_worker = job.last_possible_worker().and_then(|index| self.workers.get(index));
+        let cell = earlier_worker.map(|worker| worker.entry.cell);
         let (key, class, tenant) = (job.request.key, job.request.class, job.request.tenant);
         let candidates = self.select_candidates(key, class, cell, tenant);
         if let Some(job) = self.jobs.get_mut(&request_id) {
@@ -281,14 +286,14 @@
         }
     }
 
-    /// Returns how long (ns) a worker with work may go without a sign of life.
+    /// Returns how long (ns) a worker with unconfirmed attempts may send no signal.
     fn max_silence(&self) -> Nanos {
         let longest_run = self.class_stats.iter().map(|class| class.mean_run_ns()).fold(0.0, f64::max);
         HealthSignals::max_silence(&self.settings, longest_run)
     }
 
-    /// Returns whether a worker that took work gives no sign of it. It may hang, and looks the more idle for
-    /// it.
+    /// Returns whether a worker has sent no signal of its attempts for too long. It may hang, and a worker
+    /// that hangs looks idle.
     pub(super) fn is_silent(&self, worker: &Worker) -> bool {
         worker.health.is_silent(self.now, self.max_silence())
     }
