--- a/crates/dispatcher/src/dispatcher/probing.rs
+++ b/crates/dispatcher/src/dispatcher/probing.rs
@@ -1,4 +1,4 @@
-//! Probes of workers: when they are sent, and what their reports say.
+//! Probes of workers: when they are sent, and how their load reports are applied.
 
 use std::ops::Bound;
 
@@ -14,15 +14,15 @@
 use crate::worker::{FailureWeight, MAX_DOUBLINGS};
 use crate::worker_load::{LowTrafficShare, ReportShare};
 
-/// A probe unanswered for this long (ns) counts as failed.
+/// Time (ns) after which an unanswered probe counts as failed.
 const PROBE_TIMEOUT: Nanos = 2_000 * MILLISECOND;
-/// Doublings of the wait for a probe where most workers fail: that is something they share, and the fleet
-/// must not be given up for it.
+/// How many times failures double the delay until a probe, at most, while most workers fail. Such failures
+/// have a shared cause, and the dispatcher must not give up the fleet because of it.
 const SHARED_FAULT_MAX_DOUBLINGS: f64 = 1.0;
 
 impl Dispatcher {
-    /// Brings the indexes up to date with a worker, and schedules or cancels its next probe by whether it is
-    /// closed. Where traffic is low workers are probed only when a job needs it.
+    /// Updates the indexes for a worker, and schedules its next probe if it is closed or cancels the probe if
+    /// it is open. Where traffic is low, workers are probed only when a job needs a report.
     pub(super) fn update_open_state(&mut self, worker_index: usize) {
         self.workers.update_indexes(worker_index);
         if self.has_low_traffic() {
@@ -39,22 +39,23 @@
         }
     }
 
-    /// Schedules the probe of a closed worker, tau later or more.
+    /// Schedules the probe of a closed worker after tau, or after a longer delay if the probe budget or the
+    /// worker's failures require it.
     fn schedule_probe(&mut self, worker_index: usize) {
         let most_are_failing = self.workers.most_are_failing();
         let worker_count = self.workers.len();
         let Some(worker) = self.workers.get_mut(worker_index) else { return };
-        // A worker that keeps failing is probed ever more rarely.
-        let is_shared_fault = worker.fails_repeatedly() && most_are_failing;
-        let max_doublings = if is_shared_fault { SHARED_FAULT_MAX_DOUBLINGS } else { MAX_DOUBLINGS };
+        // A worker that keeps failing is probed less and less often.
+        let has_shared_fault = worker.fails_repeatedly() && most_are_failing;
+        let max_doublings = if has_shared_fault { SHARED_FAULT_MAX_DOUBLINGS } else { MAX_DOUBLINGS };
         let backoff_factor = worker.backoff_factor(max_doublings);
         let number = worker.probe.schedule();
-        let interval = ProbeBudget::affordable_interval(worker_count, self.arrival_rate.per_s());
-        let delay = self.jittered((interval.max(TAU as f64) * backoff_factor) as Nanos);
+        let affordable_interval = ProbeBudget::affordable_interval(worker_count, self.arrival_rate.per_s());
+        let delay = self.jittered((affordable_interval.max(TAU as f64) * backoff_factor) as Nanos);
         self.timers.start(self.now + delay, Timer::Probe { worker: worker_index, number });
     }
 
-    /// Updates the state of all workers, and gives them what is held.
+    /// Updates the open state of all workers, and sends them held requests.
     pub(super) fn update_all_open_states(&mut self, actions: &mut Vec<Action>) {
         for worker_index in 0..self.workers.len() {
             self.update_open_state(worker_index);
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Returns whether a candidate that the job may go to can be probed, or has been and may yet answer.
+    /// Returns whether the report of a probe may open the candidate for the job: the worker can report in
+    /// time, and its slow start admits the job.
     pub(super) fn may_open_after_probe(&self, worker_index: usize, job: &Job) -> bool {
         self.can_report_in_time(worker_index, job) && self.slow_start_admits(worker_index, job)
     }
@@ -80,8 +82,8 @@
             && self.deduplicates_earlier_attempts(worker, job)
     }
 
-    /// Has the next candidate of a held request probed, where traffic is low, or sends it to one that is
-    /// open.
+    /// Sends a held request to an open candidate, or probes its next candidate. Does nothing unless traffic
+    /// is low and `search` is the job's current search.
     pub(super) fn probe_next_candidate(
         &mut self,
         request_id: RequestId,
@@ -92,16 +94,17 @@
         if !self.jobs.get(&request_id).is_some_and(is_current) || !self.has_low_traffic() {
             return;
         }
-        if let Some(open) = self.pick_worker(request_id) {
-            return self.send_attempt(request_id, open, actions);
+        if let Some(open_worker) = self.pick_worker(request_id) {
+            return self.send_attempt(request_id, open_worker, actions);
         }
         let Some(job) = self.jobs.get(&request_id) else { return };
-        let next = job.candidates.iter().copied().find(|index| self.may_open_after_probe(*index, job));
-        let delay = match next {
+        let next_candidate =
+            job.candidates.iter().copied().find(|index| self.may_open_after_probe(*index, job));
+        let delay = match next_candidate {
             Some(_) => MAX_CANDIDATE_PROBE_WAIT,
             None => self.jittered(TAU),
         };
-        if let Some(worker_index) = next {
+        if let Some(worker_index) = next_candidate {
             self.probe_for_held_job(worker_index, actions);
         }
         let search = search.wrapping_add(1);
@@ -111,27 +114,27 @@
         }
     }
 
-    /// Has a worker probed for a held job.
+    /// Probes a worker for a held job, unless a probe is already in flight.
     fn probe_for_held_job(&mut self, worker_index: usize, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(worker_index) else { return };
         if worker.probe.is_in_flight() {
             return;
         }
-        let pause = (TAU as f64 * worker.backoff_factor(MAX_DOUBLINGS)) as Nanos;
-        let number = worker.probe.schedule_for_job(now, now + pause);
+        let min_interval = (TAU as f64 * worker.backoff_factor(MAX_DOUBLINGS)) as Nanos;
+        let number = worker.probe.schedule_for_job(now, now + min_interval);
         self.probe_budget.spend();
         self.handle_probe_timer(worker_index, number, actions);
     }
 
-    /// Sends the scheduled probe, or gives up the one in flight.
+    /// Sends the scheduled probe, or counts the probe in flight as failed.
     pub(super) fn handle_probe_timer(&mut self, worker_index: usize, number: u32, actions: &mut Vec<Action>) {
         let Some(worker) = self.workers.get_mut(worker_index) else { return };
         if !worker.probe.is_current(number) {
             return;
         }
         if worker.probe.is_in_flight() {
-            // No answer came, not even a failed one.
+            // The probe timed out: neither an answer nor a failure was reported.
             worker.record_failure(FailureWeight::Full);
             worker.probe.lost();
             self.update_open_state(worker_index);
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Takes in how a probe ended.
+    /// Processes the outcome of a probe.
     pub(super) fn handle_probe_completed(
         &mut self,
         worker_id: WorkerId,
@@ -173,7 +176,7 @@
         self.resume_candidate_searches(worker_index, actions);
     }
 
-    /// Has what is still held for a worker that has been probed look further.
+    /// Continues the candidate search of each request that is still held for a worker after its probe.
     fn resume_candidate_searches(&mut self, worker_index: usize, actions: &mut Vec<Action>) {
         let mut after = Bound::Unbounded;
         while let Some((position, request_id)) = self.held_requests.next(worker_index, after) {
@@ -183,15 +186,16 @@
         }
     }
 
-    /// Returns what of a worker's load report is this dispatcher's.
+    /// Returns the share of a worker's reported free slots that this dispatcher counts as its own.
     pub(super) fn report_share(&mut self, worker_index: usize) -> ReportShare {
-        // Drawn in any case, so that the sequence of draws does not depend on the traffic.
-        let random = self.rng.f64();
+        // The number is drawn even if it is not used, so that the sequence of draws does not depend on the
+        // traffic.
+        let rounding = self.rng.f64();
         let dispatchers = self.settings.dispatchers;
         let worker = self.workers.get(worker_index);
         let typical_slots = worker.map_or(1.0, |worker| self.service_rates.typical_slots(worker.entry.kind));
         if !self.has_low_traffic() {
-            return ReportShare::for_high_traffic(dispatchers, typical_slots, random);
+            return ReportShare::for_high_traffic(dispatchers, typical_slots, rounding);
         }
         let slow_start_weight = worker.and_then(|worker| self.slow_start_weight(worker));
         let relative_demand =
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -1,4 +1,4 @@
-//! Which worker a request is sent to.
+//! Selection of the worker that a request is sent to.
 
 use std::collections::BTreeSet;
 
@@ -15,48 +15,49 @@
 use crate::worker_entry::WorkerEntry;
 use crate::worker_load::MAX_REPORT_AGE;
 
-/// Workers that a key has affinity to, where traffic is not low.
+/// How many workers a key has affinity to, unless traffic is low.
 const MAX_AFFINITY_WORKERS: usize = 4;
-/// Workers next to a key on the ring from which those are taken, by a hash of both.
+/// How many ring neighbours of a key are ranked by a hash of key and worker to choose its affinity workers.
 const AFFINITY_NEIGHBOURS: usize = 32;
-/// Workers next to a key on the ring that are ranked where traffic is low.
+/// How many ring neighbours of a key are ranked where traffic is low.
 const LOW_TRAFFIC_NEIGHBOURS: usize = 128;
-/// Candidates of a job where traffic is low, beside the first ones of a key, which are as many as its traffic
-/// fills. Warming ones do not count: they have capacity for few jobs.
+/// How many warm candidates a job has where traffic is low and its key's traffic fills one worker or less.
+/// Each further worker that the key fills adds one. Warming workers do not count, because they have capacity
+/// for few jobs.
 const WARM_CANDIDATES: usize = 5;
-/// The same, warming ones included.
+/// How many candidates, warming ones included, a job has at most beyond the workers that its key fills.
 const MAX_FURTHER_CANDIDATES: usize = 16;
-/// Weight (in requests) of the prior that a key is rare.
+/// Weight (in requests) of the prior assumption that a key is rare.
 const RARE_KEY_PRIOR_WEIGHT: f64 = 20.0;
-/// Random draws of a worker that may be open before all of them are looked at ...
+/// Random picks of a worker before a large set of workers is scanned. Of thousands of workers that may be
+/// open, most are open for a given job, and a few picks find one as evenly as a draw among all open workers.
 const MAX_RANDOM_PICKS: usize = 8;
-/// ... where there are more than so many. Of thousands most that may be open are, and a few draws find one as
-/// evenly as a draw among all.
+/// A set with at most this many workers is scanned without random picks.
 const SMALL_SET_MAX_WORKERS: usize = 64;
-/// While the list may be stale, a worker is open for so long (ns) after a probe confirmed that it accepts
-/// work.
+/// How long (ns) a worker stays open after a probe confirmed that it accepts work, while the worker list may
+/// be stale.
 const CONFIRMATION_VALIDITY: Nanos = MAX_REPORT_AGE;
-/// Share of a worker's slots left free for work that is in time and within its tenant's quota.
+/// Share of a worker's slots that is reserved for requests in time and within their tenants' quotas.
 const RESERVED_SLOT_SHARE: f64 = 0.5;
 
 impl Dispatcher {
-    /// Returns whether another attempt of the request may be started.
+    /// Returns whether another attempt of the request may start now.
     pub(super) fn may_start_attempt(&self, job: &Job) -> bool {
         let max_attempts = self.settings.max_attempts.min(self.active_rules.max_attempts());
         let may_have_run = job.first_possible_run().is_some();
-        let must_not_repeat = self.class_of(job).idempotency == Idempotency::NonIdempotent;
+        let is_non_idempotent = self.class_of(job).idempotency == Idempotency::NonIdempotent;
         !job.is_finished
             && !job.is_streaming
             && self.now < job.deadline.min(self.resend_deadline(job))
             && job.attempts.len() < max_attempts as usize
             && (self.settings.allows_hedging || !job.has_attempt_in_flight())
-            && !(must_not_repeat && may_have_run)
+            && !(is_non_idempotent && may_have_run)
     }
 
-    /// Returns until when a further attempt of the request may be written.
+    /// Returns until when another attempt of the request may be written to a connection.
     pub(super) fn resend_deadline(&self, job: &Job) -> Nanos {
-        let Some(first) = job.first_possible_run() else { return Nanos::MAX };
-        self.class_of(job).resend_deadline(first, self.settings.connect_timeout)
+        let Some(first_sent_at) = job.first_possible_run() else { return Nanos::MAX };
+        self.class_of(job).resend_deadline(first_sent_at, self.settings.connect_timeout)
     }
 
     /// Returns whether a worker is open for the job.
@@ -64,7 +65,7 @@
         self.is_open_ignoring_slow_start(worker_index, job) && self.slow_start_admits(worker_index, job)
     }
 
-    /// Returns whether a worker is open for the job, whatever it may be sent while it is warming up.
+    /// Returns whether a worker is open for the job, regardless of the limit of a slow start.
     pub(super) fn is_open_ignoring_slow_start(&self, worker_index: usize, job: &Job) -> bool {
         let Some(worker) = self.workers.get(worker_index) else { return false };
         worker.is_ready
@@ -76,23 +77,24 @@
             && self.has_fresh_state(worker)
     }
 
-    /// Returns whether the worker's free slots and memory cover the job.
+    /// Returns whether the worker's free slots and memory cover the job's demand.
     fn covers_demand(&self, worker: &Worker, job: &Job) -> bool {
         let Some(free) = worker.load.free_slots() else { return false };
         let slots = job.request.slots;
         if free + self.queue_allowance(worker, job) < slots {
             return false;
         }
-        // Work that is late already, or over its quota, leaves slots for what can still be answered in time.
-        let has_lesser_claim = job.is_over_quota() || self.now >= job.hold_until;
+        // Requests that are late or over quota leave slots to those that can still be answered in time.
+        let has_low_priority = job.is_over_quota() || self.now >= job.hold_until;
         let reserved = RESERVED_SLOT_SHARE * worker.load.known_slots();
-        if has_lesser_claim && free + worker.load.slots_for_others() < slots + reserved {
+        if has_low_priority && free + worker.load.slots_for_others() < slots + reserved {
             return false;
         }
         worker.load.free_memory().is_none_or(|free| free >= job.request.memory)
     }
 
-    /// Returns the slots that the job may exceed the free ones by: K, or what takes its place.
+    /// Returns by how many slots the job may exceed the free slots: K, K with affinity or, where traffic is
+    /// low, the rounding allowance.
     fn queue_allowance(&self, worker: &Worker, job: &Job) -> f64 {
         if self.has_low_traffic() {
             return rounding_allowance(worker, job);
@@ -103,14 +105,14 @@
         }
     }
 
-    /// Returns whether the worker may run the job at all, by class, rules and earlier attempts.
+    /// Returns whether the job's class, the rules and the earlier attempts allow the worker to run the job.
     fn is_eligible(&self, worker: &Worker, job: &Job) -> bool {
         self.class_of(job).required_kind.is_none_or(|kind| kind == worker.entry.kind)
             && self.active_rules.allows(worker.entry.address_hash, job.request.tenant, self.now)
             && self.deduplicates_earlier_attempts(worker, job)
     }
 
-    /// Returns whether the worker's last report is fresh enough to send by.
+    /// Returns whether the worker's last probe is recent enough to send work by.
     fn has_fresh_state(&self, worker: &Worker) -> bool {
         let report_is_old =
             self.has_low_traffic() && worker.probe.is_older_than(LOW_TRAFFIC_MAX_REPORT_AGE, self.now);
@@ -119,20 +121,20 @@
         !report_is_old && !status_is_unknown
     }
 
-    /// Returns whether the worker drops the repeats of all earlier attempts that may have run. Both the entry
-    /// of the earlier worker at the time of the attempt and its present one count, for either may be out of
-    /// date.
+    /// Returns whether the worker deduplicates all earlier attempts that may have run. Both the earlier
+    /// worker's entry at the time of the attempt and its current entry are checked, because either may be
+    /// outdated.
     pub(super) fn deduplicates_earlier_attempts(&self, worker: &Worker, job: &Job) -> bool {
         let class = self.class_of(job);
-        let drops_repeats_of = |earlier: &WorkerEntry| class.deduplicates(earlier, &worker.entry);
+        let is_deduplicated = |earlier: &WorkerEntry| class.deduplicates(earlier, &worker.entry);
         job.attempts.iter().filter(|attempt| attempt.may_have_run).all(|attempt| {
-            let present = self.workers.get(attempt.worker);
-            drops_repeats_of(&attempt.entry)
-                && present.is_some_and(|earlier| drops_repeats_of(&earlier.entry))
+            let current = self.workers.get(attempt.worker);
+            is_deduplicated(&attempt.entry) && current.is_some_and(|earlier| is_deduplicated(&earlier.entry))
         })
     }
 
-    /// Returns an open worker for the job, at random among those that suit it best.
+    /// Returns an open worker for the job: its first open candidate or, if it may go to any worker, a random
+    /// one, from another zone only if none is open in the own zone.
     pub(super) fn pick_worker(&mut self, request_id: RequestId) -> Option<usize> {
         let job = self.jobs.get(&request_id)?;
         if !self.may_start_attempt(job) {
@@ -146,25 +148,25 @@
         }
         for set in self.workers.open_sets() {
             let members = set.members();
-            let draws = if members.len() > SMALL_SET_MAX_WORKERS { MAX_RANDOM_PICKS } else { 0 };
-            for _ in 0..draws {
-                let drawn = members[self.rng.usize(0..members.len())];
-                if self.is_open(drawn, job) {
-                    return Some(drawn);
+            let random_picks = if members.len() > SMALL_SET_MAX_WORKERS { MAX_RANDOM_PICKS } else { 0 };
+            for _ in 0..random_picks {
+                let picked = members[self.rng.usize(0..members.len())];
+                if self.is_open(picked, job) {
+                    return Some(picked);
                 }
             }
-            let mut open: Vec<usize> =
+            let mut open_workers: Vec<usize> =
                 members.iter().copied().filter(|index| self.is_open(*index, job)).collect();
-            if !open.is_empty() {
-                open.sort_unstable();
-                return Some(open[self.rng.usize(0..open.len())]);
+            if !open_workers.is_empty() {
+                open_workers.sort_unstable();
+                return Some(open_workers[self.rng.usize(0..open_workers.len())]);
             }
         }
         None
     }
 
-    /// Returns the workers that a key has affinity to, in the order of preference. All dispatchers agree on
-    /// them.
+    /// Returns the workers that a key has affinity to, in order of preference. The result is the same at all
+    /// dispatchers.
     pub(super) fn affinity_workers(&self, key: u64, tenant: Option<u32>) -> Vec<usize> {
         let weight = |worker_index: usize| {
             let worker = self.workers.get(worker_index)?;
@@ -176,9 +178,9 @@
         ranked
     }
 
-    /// Returns the candidates of a job where traffic is low, in the order of preference: those that its key's
-    /// traffic fills, shuffled, then the next that rank highest for the key, or for a random one. Where
-    /// `cell` is given, only its workers are candidates.
+    /// Returns the candidates of a job where traffic is low, in order of preference: first, shuffled, as many
+    /// workers as the traffic of its key fills, then the workers that rank next. Workers are ranked by the
+    /// key, or by a random key if the job has none. If `cell` is given, only its workers are candidates.
     pub(super) fn select_candidates(
         &mut self,
         key: Option<u64>,
@@ -200,18 +202,18 @@
             self.slow_start_admission.update(&sample);
         }
         self.mean_traffic_weight = total_weight / ranked_count;
-        let first = shuffle_first(&mut ranked, &weights, required_weight, || self.rng.f64());
-        // Warming workers have capacity for few jobs: there are as many others as if there were none.
+        let shuffled_count = shuffle_first(&mut ranked, &weights, required_weight, || self.rng.f64());
+        // Warming workers have capacity for few jobs, so they do not reduce the number of warm candidates.
         let mut warm_count = 0;
         ranked.retain(|index| {
             warm_count += usize::from(!warming.contains(index));
-            warm_count < first + WARM_CANDIDATES
+            warm_count < shuffled_count + WARM_CANDIDATES
         });
-        ranked.truncate(first + MAX_FURTHER_CANDIDATES);
+        ranked.truncate(shuffled_count + MAX_FURTHER_CANDIDATES);
         ranked
     }
 
-    /// Returns how many usual workers the traffic of a key fills, over all dispatchers.
+    /// Returns how many typical workers the traffic of a key fills, over all dispatchers.
     fn workers_filled_by(&self, key: Option<u64>, class: u32) -> f64 {
         let share = key.map_or(0.0, |key| self.key_frequency.share(key, RARE_KEY_PRIOR_WEIGHT));
         let jobs_per_s = share * self.arrival_rate.per_s() * f64::from(self.settings.dispatchers);
@@ -219,7 +221,7 @@
         jobs_per_s * mean_run_ns / NANOS_PER_SECOND / DEFAULT_SLOTS / TYPICAL_UTILIZATION
     }
 
-    /// Ranks the workers that a job may go to, by its key and their traffic weights.
+    /// Ranks the workers that the rules and `cell` allow, by key and traffic weight.
     fn rank_candidates(&self, key: u64, cell: Option<u32>, tenant: Option<u32>) -> Vec<usize> {
         let weight = |worker_index: usize| {
             let entry = &self.workers.get(worker_index)?.entry;
@@ -232,8 +234,8 @@
         self.workers.ready().rank(key, LOW_TRAFFIC_NEIGHBOURS, weight)
     }
 
-    /// Returns the job's first open candidate. Those before it are probed first: sent past one, a key would
-    /// be fetched at one more worker.
+    /// Returns the job's first open candidate, or `None` if a probe may open an earlier one. If the job
+    /// skipped that candidate, its key's data would be fetched at one more worker.
     pub(super) fn first_open_candidate(&mut self, request_id: RequestId) -> Option<usize> {
         for position in 0.. {
             let worker_index = *self.jobs.get(&request_id)?.candidates.get(position)?;
@@ -250,12 +252,12 @@
     }
 }
 
-/// Returns a number from 0 to 1: what a job finds beside the fraction of a slot that is left to its
-/// dispatcher.
+/// Returns a number from 0 to 1 that is added to the fraction of a slot that a dispatcher has left, which
+/// rounds the fraction up for some jobs and down for others.
 ///
-/// It is the same at all dispatchers for one key and worker, so that a worker sheds whole keys: shed job by
-/// job, each key would be fetched at two workers, and push others out of both.
+/// The number is a hash of key and worker, the same at all dispatchers, so that a worker sheds whole keys. If
+/// it shed single jobs, each key's data would be fetched at two workers and displace other keys at both.
 fn rounding_allowance(worker: &Worker, job: &Job) -> f64 {
-    let drawn = mix(job.request.key.unwrap_or(job.arrival) ^ mix(!worker.entry.address_hash));
-    drawn as f64 / u64::MAX as f64
+    let hash = mix(job.request.key.unwrap_or(job.arrival) ^ mix(!worker.entry.address_hash));
+    hash as f64 / u64::MAX as f64
 }
