--- a/crates/dispatcher/src/dispatcher/admission.rs
+++ b/crates/dispatcher/src/dispatcher/admission.rs
@@ -106,14 +106,14 @@
         }
     }
 
-    /// Returns by when a request must have its final answer: shortly before its client gives up.
+    /// Returns the time by which a request must have its final answer: shortly before its client gives up.
     fn request_deadline(&self, request: &Request) -> Nanos {
         let margin = 2 * self.settings.clock_resolution;
         let deadline = self.now + request.time_left.saturating_sub(margin);
         deadline.min(self.shutdown_deadline)
     }
 
-    /// Returns until when a request may be held and can still be answered in time.
+    /// Returns the time until which a request may be held and can still be answered in time.
     fn hold_deadline(&self, request: &Request) -> Nanos {
         let class = &self.settings.classes[request.class as usize];
         let stats = &self.class_stats[request.class as usize];
@@ -134,8 +134,8 @@
 
     /// Sends the request to an open worker, holds it, or gives its final answer.
     pub(super) fn dispatch(&mut self, request_id: RequestId, actions: &mut Vec<Action>) {
-        if let Some(worker) = self.pick_worker(request_id) {
-            return self.send_attempt(request_id, worker, actions);
+        if let Some(worker_index) = self.pick_worker(request_id) {
+            return self.send_attempt(request_id, worker_index, actions);
         }
         let Some(job) = self.jobs.get(&request_id) else { return };
         if self.now < job.hold_until && self.may_start_attempt(job) {
@@ -167,14 +167,14 @@
         let previous_position = job.hold_position.replace(position);
         self.held_requests.put(request_id, previous_position, position, &job.candidates);
         let (hold_until, slots, memory) = (job.hold_until, job.request.slots, job.request.memory);
-        let send_by = self.jobs.get(&request_id).map_or(hold_until, |job| self.resend_deadline(job));
-        let timeout = if rank == HoldRank::Late { send_by } else { hold_until.min(send_by) };
+        let resend_deadline = self.jobs.get(&request_id).map_or(hold_until, |job| self.resend_deadline(job));
+        let timeout = if rank == HoldRank::Late { resend_deadline } else { hold_until.min(resend_deadline) };
         self.timers.start(timeout, Timer::HoldTimeout(request_id));
         if self.held_requests.raise_requirements(slots, memory) {
             // The job demands more slots or memory than any other held job. Workers that do not cover it
             // count as closed from now on, and are probed.
-            for worker in 0..self.workers.len() {
-                self.update_open_state(worker);
+            for worker_index in 0..self.workers.len() {
+                self.update_open_state(worker_index);
             }
         }
     }
--- a/crates/dispatcher/src/dispatcher/mod.rs
+++ b/crates/dispatcher/src/dispatcher/mod.rs
@@ -57,7 +57,7 @@
     rng: fastrand::Rng,
     now: Nanos,
     timers: TimerQueue<Timer>,
-    /// By when the shutdown requires an answer to every request; `Nanos::MAX` before a shutdown.
+    /// Time by which the shutdown requires an answer to every request; `Nanos::MAX` before a shutdown.
     shutdown_deadline: Nanos,
     workers: WorkerTable,
     /// Whether the first subscription to membership changes has been requested.
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -54,7 +54,7 @@
             && !(is_non_idempotent && may_have_run)
     }
 
-    /// Returns until when another attempt of the request may be written to a connection.
+    /// Returns the time until which another attempt of the request may be written to a connection.
     pub(super) fn resend_deadline(&self, job: &Job) -> Nanos {
         let Some(first_sent_at) = job.first_possible_run() else { return Nanos::MAX };
         self.class_of(job).resend_deadline(first_sent_at, self.settings.connect_timeout)
