--- a/crates/daemon/src/rules_conversion.rs
+++ b/crates/daemon/src/rules_conversion.rs
@@ -67,7 +67,7 @@
             (Some(now), _) => convert(&now, &tenants),
             // Before the first lease the scheduler has no share of any quota.
             (None, _) => AdoptedRules {
-                rules: Arc::new(Rules::none(1, RetryAfterBounds { shortest: 0, longest: u64::MAX })),
+                rules: Arc::new(Rules::initial(1, RetryAfterBounds { shortest: 0, longest: u64::MAX })),
                 valid_until: Instant::now(),
                 version: HeaderValue::from_static("none"),
                 degraded_version: HeaderValue::from_static("none"),
--- a/crates/dispatcher/src/dispatcher/admission.rs
+++ b/crates/dispatcher/src/dispatcher/admission.rs
@@ -55,7 +55,7 @@
         let job = self.new_job(request);
         self.timers.start(job.deadline, Timer::Deadline(id));
         self.arrivals += 1;
-        self.arrival_rate.count(self.now);
+        self.arrival_rate.record_arrival(self.now);
         self.probe_budget.add_request();
         self.jobs.insert(id, job);
         self.dispatch(id, actions);
--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -122,7 +122,7 @@
         let Some(job) = self.jobs.get_mut(&id.request) else { return };
         let Some(attempt) = job.attempts.get_mut(id.number as usize) else { return };
         let kind = attempt.entry.kind;
-        let weight = self.settings.limits.slow_start_weight(attempt.entry.started, self.now, 0);
+        let weight = self.settings.limits.slow_start_weight(attempt.entry.started_at, self.now, 0);
         let is_warm = weight.is_none();
         if !is_warm && self.service_rates.has_warm_samples(kind) {
             return;
@@ -130,7 +130,7 @@
         let worker = self.workers.get(attempt.worker).filter(|_| is_warm);
         let report = worker.and_then(|worker| worker.last_report.as_ref());
         let others = report.and_then(|report| self.service_rates.jobs_at_worker(kind, report));
-        self.service_rates.job_began(kind, job.request.class, others, self.now);
+        self.service_rates.job_started(kind, job.request.class, others, self.now);
         attempt.counted_since = Some(self.now);
     }
 
@@ -173,8 +173,8 @@
             self.classes[ended.class as usize].record_run(run as f64);
         }
         if let Some(began) = ended.counted_since {
-            let weight = self.settings.limits.slow_start_weight(ended.entry.started, self.now, 0);
-            let sample = ServiceSample::of(outcome, weight);
+            let weight = self.settings.limits.slow_start_weight(ended.entry.started_at, self.now, 0);
+            let sample = ServiceSample::from_outcome(outcome, weight);
             self.service_rates.job_ended(ended.entry.kind, ended.class, began, self.now, sample);
         }
     }
@@ -231,7 +231,7 @@
     /// Continues with a request after one of its attempts has ended.
     fn continue_request(&mut self, id: RequestId, outcome: &AttemptOutcome, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        job.is_finished |= outcome.finished;
+        job.is_finished |= outcome.request_is_finished;
         if job.is_finished {
             self.close_request(id);
         } else if outcome.outcome == Outcome::InvalidJob {
--- a/crates/dispatcher/src/dispatcher/membership.rs
+++ b/crates/dispatcher/src/dispatcher/membership.rs
@@ -47,7 +47,7 @@
         }
         // All of them first: how many there are decides whether each is probed for a start.
         self.workers.count_ready(&entries);
-        self.arrival_rate.workers_listed(self.workers.ready_count());
+        self.arrival_rate.record_worker_count(self.workers.ready_count());
         for entry in entries {
             self.apply_entry(entry);
         }
@@ -84,7 +84,7 @@
         let index = entry.worker.0 as usize;
         let is_ready = entry.status == WorkerStatus::Ready;
         let timer_number = self.workers.get(index).map_or(0, |former| former.probe.next_timer_number());
-        let random = entry.started.map_or(0.0, |_| self.rng.f64());
+        let random = entry.started_at.map_or(0.0, |_| self.rng.f64());
         let bucket = TokenBucket::new(self.settings.dispatchers, random, self.now);
         let mut worker = Worker::new(entry, bucket, timer_number, self.now);
         worker.is_ready = is_ready;
--- a/crates/dispatcher/src/dispatcher/mod.rs
+++ b/crates/dispatcher/src/dispatcher/mod.rs
@@ -85,7 +85,7 @@
     ///
     /// Returns an error if no decisions can be made by the settings.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         Ok(Dispatcher {
             rng: fastrand::Rng::with_seed(seed),
             now: 0,
@@ -134,8 +134,8 @@
                     job.is_streaming = true;
                 }
             }
-            Event::AttemptEnded { request, attempt: number, outcome, finished, report } => {
-                let outcome = AttemptOutcome { outcome, finished, report };
+            Event::AttemptEnded { request, attempt: number, outcome, request_is_finished, report } => {
+                let outcome = AttemptOutcome { outcome, request_is_finished, report };
                 self.end_attempt(AttemptId { request, number }, &outcome, actions);
             }
             Event::ProbeCompleted { worker, outcome, report } => {
@@ -149,7 +149,7 @@
             Event::Rules { rules, valid_until } => self.apply_rules(rules, valid_until, actions),
             // A wake-up may come a little early, where the caller's clock is coarser: the next is requested
             // anew.
-            Event::Wake => self.timers.note_wake(self.now + self.settings.clock_resolution),
+            Event::Wake => self.timers.record_wake(self.now + self.settings.clock_resolution),
         }
     }
 
--- a/crates/dispatcher/src/dispatcher/slow_start.rs
+++ b/crates/dispatcher/src/dispatcher/slow_start.rs
@@ -15,7 +15,7 @@
 impl Dispatcher {
     /// Returns the share of its capacity that a warming worker has at least; `None` if it is warm.
     pub(super) fn slow_start_weight(&self, worker: &Worker) -> Option<f64> {
-        self.settings.limits.slow_start_weight(worker.entry.started, self.now, 0)
+        self.settings.limits.slow_start_weight(worker.entry.started_at, self.now, 0)
     }
 
     /// Returns whether a worker is known and warming up.
@@ -73,7 +73,7 @@
             random: self.rng.f64(),
         };
         let Some(worker) = self.workers.get_mut(index) else { return };
-        let is_admitted = self.slow_start_admission.admits(&request, &mut worker.slow_start_requests);
+        let is_admitted = self.slow_start_admission.try_admit(&request, &mut worker.slow_start_requests);
         if let Some(job) = self.jobs.get_mut(&id) {
             job.slow_start_draws.push(SlowStartDraw { worker: index, drawn_at: self.now, is_admitted });
         }
--- a/crates/dispatcher/src/event.rs
+++ b/crates/dispatcher/src/event.rs
@@ -154,7 +154,7 @@
         /// How the attempt ended.
         outcome: Outcome,
         /// Whether the request is over.
-        finished: bool,
+        request_is_finished: bool,
         /// The load report that came with the answer.
         report: Option<LoadReport>,
     },
--- a/crates/dispatcher/src/job.rs
+++ b/crates/dispatcher/src/job.rs
@@ -50,7 +50,7 @@
     /// The outcome itself.
     pub(crate) outcome: Outcome,
     /// Whether the request is over.
-    pub(crate) finished: bool,
+    pub(crate) request_is_finished: bool,
     /// The load report that came with the answer.
     pub(crate) report: Option<LoadReport>,
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -57,8 +57,8 @@
 //!     kind: 0,
 //!     cell: 0,
 //!     status: WorkerStatus::Ready,
-//!     weight: 1.0,
-//!     started: None,
+//!     registered_size: 1.0,
+//!     started_at: None,
 //! };
 //! dispatcher.handle(0, Event::WorkerList { kind: ListKind::Complete, entries: vec![entry] }, &mut actions);
 //!
--- a/crates/dispatcher/src/rules.rs
+++ b/crates/dispatcher/src/rules.rs
@@ -63,7 +63,7 @@
 impl Rules {
     /// Returns the rules of a dispatcher that knows that there are rules and has never had any: it has no
     /// share of anything.
-    pub fn none(max_attempts: u32, retry_after: RetryAfterBounds) -> Rules {
+    pub fn initial(max_attempts: u32, retry_after: RetryAfterBounds) -> Rules {
         let degraded = DegradedRules {
             quota_share: 0.0,
             allowed_workers: BTreeSet::new(),
--- a/crates/dispatcher/src/service_rate.rs
+++ b/crates/dispatcher/src/service_rate.rs
@@ -53,7 +53,7 @@
     }
 
     /// Notes that a job has come to a worker.
-    pub fn job_began(&mut self, now: Nanos) {
+    pub fn job_started(&mut self, now: Nanos) {
         self.running += 1;
         self.running_since += u128::from(now);
     }
@@ -95,7 +95,7 @@
 impl ServiceSample {
     /// Returns the sample of an attempt by its outcome and the worker's slow start weight (`None` if it is
     /// warm).
-    pub fn of(outcome: Outcome, slow_start_weight: Option<f64>) -> ServiceSample {
+    pub fn from_outcome(outcome: Outcome, slow_start_weight: Option<f64>) -> ServiceSample {
         if outcome.never_ran() {
             return ServiceSample::NeverRan;
         }
@@ -182,14 +182,14 @@
 
     /// Notes that a job has come to a worker, which last reported `others` jobs. Only workers that get jobs
     /// count: jobs go to those with free slots, and their times are short beside what full workers report.
-    pub fn job_began(&mut self, kind: u32, class: u32, others: Option<f64>, now: Nanos) {
+    pub fn job_started(&mut self, kind: u32, class: u32, others: Option<f64>, now: Nanos) {
         let kind = self.kind_mut(kind);
-        kind.service_time.job_began(now);
+        kind.service_time.job_started(now);
         if let Some(others) = others {
             kind.jobs_found = kind.jobs_found * DECAY + others + 1.0;
             kind.arrivals = kind.arrivals * DECAY + 1.0;
         }
-        self.classes[class as usize].job_began(now);
+        self.classes[class as usize].job_started(now);
     }
 
     /// Notes that a job that came to its worker at `began` is no longer there.
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -148,7 +148,7 @@
     /// # Errors
     ///
     /// Returns the first setting that is missing or impossible.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         let possible = |figure: f64| figure.is_finite() && figure >= 0.0;
         let class_possible = |class: &Class| {
             possible(class.latency_stretch)
@@ -165,13 +165,13 @@
             return Err(SettingsError::NoAttempts);
         }
         if !self.classes.iter().all(class_possible) {
-            return Err(SettingsError::BadFigure("class figure"));
+            return Err(SettingsError::InvalidValue("class figure"));
         }
         if !self.tenants.iter().all(|tenant| possible(tenant.quota_per_s)) {
-            return Err(SettingsError::BadFigure("quota"));
+            return Err(SettingsError::InvalidValue("quota"));
         }
         if !possible(self.limits.slow_start_initial_share) || !possible(self.limits.overload_multiple) {
-            return Err(SettingsError::BadFigure("cold start figure"));
+            return Err(SettingsError::InvalidValue("cold start figure"));
         }
         Ok(())
     }
@@ -191,5 +191,5 @@
     NoAttempts,
     /// A figure that must be finite and not negative is neither; the text names it.
     #[error("settings have an impossible {0}")]
-    BadFigure(&'static str),
+    InvalidValue(&'static str),
 }
--- a/crates/dispatcher/src/slow_start.rs
+++ b/crates/dispatcher/src/slow_start.rs
@@ -32,10 +32,10 @@
 const ALWAYS_BORNE_JOBS: u32 = 2;
 
 impl ServiceLimits {
-    /// Returns the share of its capacity that a worker that started at `started` has at least, or had so long
-    /// `ago` (ns); `None` if it is warm now.
-    pub fn slow_start_weight(&self, started: Option<Nanos>, now: Nanos, ago: Nanos) -> Option<f64> {
-        let age = now.saturating_sub(started?);
+    /// Returns the least share of its capacity that a worker that started at `started_at` had `ago`
+    /// nanoseconds before `now`; `None` if the worker is warm at `now`.
+    pub fn slow_start_weight(&self, started_at: Option<Nanos>, now: Nanos, ago: Nanos) -> Option<f64> {
+        let age = now.saturating_sub(started_at?);
         if age >= self.slow_start_duration {
             return None;
         }
@@ -110,7 +110,7 @@
         let limits = &settings.limits;
         let warm_jobs_per_s = rates.jobs_per_s(entry.kind, class, now);
         let rate_ago = |ago| {
-            let weight = limits.slow_start_weight(entry.started, now, ago)?;
+            let weight = limits.slow_start_weight(entry.started_at, now, ago)?;
             Some(send_rate(settings, weight * warm_jobs_per_s, pacing).max(MIN_RATE_PER_S))
         };
         let job_work_s = rates.job_time_s(entry.kind, class, now);
--- a/crates/dispatcher/src/slow_start_admission.rs
+++ b/crates/dispatcher/src/slow_start_admission.rs
@@ -88,7 +88,7 @@
     /// Draws whether a job may go to a warming worker, of which `worker_requests` counts the requests. Most
     /// dispatchers request one worker so seldom that the frequency can only be estimated from the requests
     /// for all of them.
-    pub fn admits(&mut self, request: &AdmissionRequest, worker_requests: &mut RequestFrequency) -> bool {
+    pub fn try_admit(&mut self, request: &AdmissionRequest, worker_requests: &mut RequestFrequency) -> bool {
         let now = request.now;
         let pause = now.saturating_sub(self.requests.updated_at);
         if self.requests.count == 0.0 || pause > REQUEST_MEMORY {
--- a/crates/dispatcher/src/timers.rs
+++ b/crates/dispatcher/src/timers.rs
@@ -55,7 +55,7 @@
     }
 
     /// Notes that a wake-up has come; one that was not requested changes nothing.
-    pub fn note_wake(&mut self, now: Nanos) {
+    pub fn record_wake(&mut self, now: Nanos) {
         if self.requested_wake <= now {
             self.requested_wake = Nanos::MAX;
         }
@@ -63,7 +63,7 @@
 
     /// Returns the moment of the next wake-up if it must be requested: none as early has been.
     pub fn request_wake(&mut self, now: Nanos) -> Option<Nanos> {
-        self.note_wake(now);
+        self.record_wake(now);
         let Reverse((at, _)) = self.timers.peek()?;
         if *at >= self.requested_wake {
             return None;
--- a/crates/dispatcher/src/traffic.rs
+++ b/crates/dispatcher/src/traffic.rs
@@ -63,14 +63,14 @@
     /// Notes how many workers are listed. Where there are no quotas, they are taken to be there for the
     /// traffic that fills them: without that, each of hundreds of dispatchers takes itself for one with much
     /// traffic until it has seen jobs for a while, and keeps probing every worker.
-    pub fn workers_listed(&mut self, workers: usize) {
+    pub fn record_worker_count(&mut self, workers: usize) {
         if let Some(rate) = self.expected_per_worker.filter(|_| self.arrivals < 1.0 && workers > 0) {
             self.per_s = rate * workers as f64;
         }
     }
 
     /// Counts a request.
-    pub fn count(&mut self, now: Nanos) {
+    pub fn record_arrival(&mut self, now: Nanos) {
         self.arrivals += 1.0;
         let elapsed_s = (now - *self.first_arrival.get_or_insert(now)) as f64 / NANOS_PER_SECOND;
         if self.expected_per_s > 0.0 {
--- a/crates/dispatcher/src/worker_entry.rs
+++ b/crates/dispatcher/src/worker_entry.rs
@@ -30,7 +30,7 @@
     /// Whether the worker accepts new work.
     pub status: WorkerStatus,
     /// The worker's registered size, relative to that of other workers; 1 where none is registered.
-    pub weight: f64,
+    pub registered_size: f64,
     /// When the worker's process last started; `None` is long ago.
-    pub started: Option<Nanos>,
+    pub started_at: Option<Nanos>,
 }
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -139,7 +139,7 @@
         let Some(worker) = self.workers.get_mut(index).and_then(Option::as_mut) else {
             return EntryChange::Started;
         };
-        let has_restarted = entry.started.is_some() && entry.started > worker.entry.started;
+        let has_restarted = entry.started_at.is_some() && entry.started_at > worker.entry.started_at;
         self.ready.remove(mix(worker.entry.address_hash), index);
         worker.entry = entry.clone();
         if !has_restarted && worker.is_ready == is_ready {
@@ -187,9 +187,9 @@
 
     /// Returns a worker's registered size, or 1 if that is not reported or impossible.
     fn registered_size(&self, entry: &WorkerEntry) -> f64 {
-        let is_possible = entry.weight > 0.0 && entry.weight.is_finite();
+        let is_possible = entry.registered_size > 0.0 && entry.registered_size.is_finite();
         if self.reports_registered_size && is_possible {
-            entry.weight
+            entry.registered_size
         } else {
             1.0
         }
--- a/crates/dispatcher/tests/active_rules.rs
+++ b/crates/dispatcher/tests/active_rules.rs
@@ -239,7 +239,7 @@
 #[test]
 fn a_dispatcher_that_never_received_the_rules_has_no_share() {
     let mut harness = harness_with(1, 9.0);
-    apply_rules(&mut harness, &Arc::new(Rules::none(1, RetryAfterBounds { shortest: 0, longest: S })), 0);
+    apply_rules(&mut harness, &Arc::new(Rules::initial(1, RetryAfterBounds { shortest: 0, longest: S })), 0);
     harness.submit(0);
     assert!(harness.workers_tried(0).is_empty() && harness.was_rejected(0));
 }
--- a/crates/dispatcher/tests/collections.rs
+++ b/crates/dispatcher/tests/collections.rs
@@ -94,7 +94,7 @@
         for (n, (delay, passed)) in steps.into_iter().enumerate() {
             now += passed;
             requested = if requested <= now { u64::MAX } else { requested };
-            timers.note_wake(now);
+            timers.record_wake(now);
             timers.start(now + delay, n);
             model.push((now + delay, n));
             model.sort_unstable();
--- a/crates/dispatcher/tests/common/mod.rs
+++ b/crates/dispatcher/tests/common/mod.rs
@@ -60,8 +60,8 @@
         kind: 0,
         cell: 0,
         status: WorkerStatus::Ready,
-        weight: 1.0,
-        started: None,
+        registered_size: 1.0,
+        started_at: None,
     }
 }
 
@@ -174,7 +174,7 @@
             request: RequestId(id),
             attempt,
             outcome,
-            finished: outcome == Outcome::Ok,
+            request_is_finished: outcome == Outcome::Ok,
             report: None,
         });
     }
--- a/crates/dispatcher/tests/properties.rs
+++ b/crates/dispatcher/tests/properties.rs
@@ -218,14 +218,16 @@
 
     fn check_slow_start(&mut self, entry: &WorkerEntry, slots: f64) -> Result<(), TestCaseError> {
         let (now, limits) = (self.now, &self.settings.limits);
-        let Some(started) = entry.started.filter(|started| now < started + limits.slow_start_duration) else {
+        let Some(started_at) =
+            entry.started_at.filter(|started_at| now < started_at + limits.slow_start_duration)
+        else {
             return Ok(());
         };
         // The least that a job may count is not known; one attempt in flight of the smallest budget is always
         // allowed, and beyond it the rate of the whole fleet's budget binds.
         let sends = self.sent_while_warming.entry(entry.worker.0).or_default();
         sends.push((now, slots));
-        let age = (now - started) as f64 / limits.slow_start_duration as f64;
+        let age = (now - started_at) as f64 / limits.slow_start_duration as f64;
         let weight = limits.slow_start_initial_share + (1.0 - limits.slow_start_initial_share) * age;
         let capacity = 9.0 * weight;
         let work: f64 = sends
@@ -252,12 +254,12 @@
     }
 
     fn entry(&mut self, worker: u32, status: WorkerStatus, restart: bool) -> WorkerEntry {
-        let old = self.list.get(&worker).and_then(|entry| entry.started);
+        let old = self.list.get(&worker).and_then(|entry| entry.started_at);
         if restart {
             self.sent_while_warming.remove(&worker);
         }
-        let started = if restart { Some(self.now) } else { old };
-        WorkerEntry { status, started, ..listed_entry(worker) }
+        let started_at = if restart { Some(self.now) } else { old };
+        WorkerEntry { status, started_at, ..listed_entry(worker) }
     }
 
     fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
@@ -340,12 +342,12 @@
         request.attempts[number].in_flight = false;
         request.attempts[number].may_have_run = !outcome.never_ran();
         request.is_answered |= outcome == Outcome::Ok;
-        let finished = request.is_answered;
+        let request_is_finished = request.is_answered;
         let event = || Event::AttemptEnded {
             request: RequestId(id),
             attempt: number as u32,
             outcome,
-            finished,
+            request_is_finished,
             report: None,
         };
         self.handle(event())?;
--- a/crates/dispatcher/tests/scenarios/invalid_input.rs
+++ b/crates/dispatcher/tests/scenarios/invalid_input.rs
@@ -16,7 +16,7 @@
     assert_eq!(Dispatcher::new(s, 0).err(), Some(SettingsError::NoAttempts));
     let mut s = settings(vec![class(Idempotency::Idempotent)]);
     s.classes[0].latency_stretch = f64::NAN;
-    assert!(matches!(Dispatcher::new(s, 0).err(), Some(SettingsError::BadFigure(_))));
+    assert!(matches!(Dispatcher::new(s, 0).err(), Some(SettingsError::InvalidValue(_))));
 }
 
 #[test]
--- a/crates/dispatcher/tests/scenarios/slow_start.rs
+++ b/crates/dispatcher/tests/scenarios/slow_start.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn a_warming_worker_gets_no_more_than_its_budget_in_any_window() {
-    let warming = WorkerEntry { started: Some(S), ..entry(0) };
+    let warming = WorkerEntry { started_at: Some(S), ..entry(0) };
     let mut harness = Harness::new(settings(vec![class(Idempotency::Idempotent)]));
     harness.report = Some(free(4.0));
     harness.apply_list(ListKind::Complete, vec![warming]);
@@ -33,7 +33,7 @@
 fn a_restarted_worker_is_closed_again() {
     let mut harness =
         Harness::with_open_workers(settings(vec![class(Idempotency::Idempotent)]), vec![entry(0)], 4.0);
-    harness.apply_list(ListKind::Changes, vec![WorkerEntry { started: Some(harness.now), ..entry(0) }]);
+    harness.apply_list(ListKind::Changes, vec![WorkerEntry { started_at: Some(harness.now), ..entry(0) }]);
     harness.submit(0);
     assert!(harness.workers_tried(0).is_empty());
 }
@@ -72,7 +72,7 @@
         }
         harness.report = None;
         let at = harness.now;
-        harness.apply_list(ListKind::Changes, vec![WorkerEntry { started: Some(at), ..entry(0) }]);
+        harness.apply_list(ListKind::Changes, vec![WorkerEntry { started_at: Some(at), ..entry(0) }]);
         for id in 100..200 {
             harness.handle(keyed(id, seed * 1_000 + id));
             while let Some(n) = harness.actions.iter().position(|a| matches!(a, Action::Probe { .. })) {
--- a/crates/dispatcher/tests/slow_start.rs
+++ b/crates/dispatcher/tests/slow_start.rs
@@ -85,7 +85,7 @@
                     let mut time = MeanServiceTime::new((deadline * SECOND) as Nanos);
                     for _ in 0..jobs {
                         let took = lognormal(&mut rng, 1.0, variation).min(deadline);
-                        time.job_began(0);
+                        time.job_started(0);
                         time.job_ended(
                             0,
                             (took * SECOND) as Nanos,
@@ -108,9 +108,9 @@
     // have ended.
     let mut time = MeanServiceTime::new(6 * S);
     for _ in 0..100 {
-        time.job_began(0);
+        time.job_started(0);
         time.job_ended(0, S / 10, ServiceSample::Ran { completed: true, capacity_share: 1.0 });
-        time.job_began(0);
+        time.job_started(0);
     }
     assert!(time.mean_s(S) > 1.0, "{:.2} s", time.mean_s(S));
     assert!(time.mean_s(3 * S) > 2.0, "{:.2} s", time.mean_s(3 * S));
@@ -138,7 +138,7 @@
             let took = f64::from(others + 1).max(2.0) / 2.0;
             for _ in 0..200 {
                 let jobs = rates.jobs_at_worker(0, &report);
-                rates.job_began(0, 0, jobs, 0);
+                rates.job_started(0, 0, jobs, 0);
                 rates.job_ended(
                     0,
                     0,
@@ -183,7 +183,7 @@
                         weight: 1.0,
                         random: rng.f64(),
                     };
-                    admitted += u32::from(admission.admits(&request, worker_requests));
+                    admitted += u32::from(admission.try_admit(&request, worker_requests));
                 }
             }
             let used = f64::from(admitted) / (rate * workers as f64 * seconds);
--- a/crates/dispatcher/tests/slow_start_fleet/fleet/dispatchers.rs
+++ b/crates/dispatcher/tests/slow_start_fleet/fleet/dispatchers.rs
@@ -9,7 +9,7 @@
     pub(super) fn entries(&self) -> Vec<WorkerEntry> {
         let kind = |n: u32| if self.case.deployment.lists_kinds { n % 2 } else { 0 };
         let of = |n: &u32| WorkerEntry {
-            started: self.machines[*n as usize].started,
+            started_at: self.machines[*n as usize].started,
             kind: kind(*n),
             ..entry(*n)
         };
@@ -106,13 +106,19 @@
             AttemptEnd::Cancelled => Outcome::Cancelled,
             AttemptEnd::Rejected => Outcome::Rejected,
         };
-        let finished = outcome == Outcome::Ok;
+        let request_is_finished = outcome == Outcome::Ok;
         let here = self.dispatchers[attempt.dispatcher].incarnation == attempt.incarnation;
-        if finished && here && self.clients.remove(&(attempt.client >> 8)).is_some() {
+        if request_is_finished && here && self.clients.remove(&(attempt.client >> 8)).is_some() {
             self.figures.served += 1.0;
         }
         let request = RequestId(attempt.client);
-        let event = Event::AttemptEnded { request, attempt: attempt.number, outcome, finished, report: None };
+        let event = Event::AttemptEnded {
+            request,
+            attempt: attempt.number,
+            outcome,
+            request_is_finished,
+            report: None,
+        };
         self.notify(attempt.dispatcher, attempt.incarnation, event);
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -266,8 +266,8 @@
             job.is_finished = true;
             self.outputs.push(Output::FinalAnswer { id: job.id.clone(), answer });
         }
-        let finished = job.is_finished;
-        self.dispatch(Event::AttemptEnded { request, attempt: number, outcome, finished, report });
+        let request_is_finished = job.is_finished;
+        self.dispatch(Event::AttemptEnded { request, attempt: number, outcome, request_is_finished, report });
         self.remove_if_done(request);
         Ok(())
     }
@@ -329,7 +329,7 @@
                 request,
                 attempt: number,
                 outcome: Outcome::NotSent,
-                finished: job.is_finished,
+                request_is_finished: job.is_finished,
                 report: None,
             });
             return;
--- a/crates/engine/src/worker_registry.rs
+++ b/crates/engine/src/worker_registry.rs
@@ -52,8 +52,8 @@
             kind,
             cell,
             status,
-            weight,
-            started,
+            registered_size: weight,
+            started_at: started,
         };
         let is_ready = status == WorkerStatus::Ready;
         match self.workers.get_mut(number as usize) {
--- a/crates/engine/tests/permits.rs
+++ b/crates/engine/tests/permits.rs
@@ -30,8 +30,8 @@
         kind: 0,
         cell,
         status: WorkerStatus::Ready,
-        weight: 1.0,
-        started: None,
+        registered_size: 1.0,
+        started_at: None,
     }
 }
 
