--- a/crates/daemon/src/acceptor.rs
+++ b/crates/daemon/src/acceptor.rs
@@ -357,7 +357,7 @@
         client_disconnected: reason == CloseReason::ClientLeft,
     };
     debug!(client = client_connection.number, ?reason, unanswered = ?request, "client closed");
-    if let Err(denial) = permits::close(facts) {
+    if let Err(denial) = permits::check_close(facts) {
         let request = request.unwrap_or(HeaderValue::from_static("none"));
         violations::report(counters, Operation::Close, denial, &request);
     }
--- a/crates/daemon/src/job_handler.rs
+++ b/crates/daemon/src/job_handler.rs
@@ -14,7 +14,7 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
-use nickelflow_engine::{hash, permits};
+use nickelflow_engine::{fnv1a_hash, permits};
 use tokio::time::timeout_at;
 use tower::Service;
 use tracing::debug;
@@ -145,7 +145,7 @@
         let id = self.open.open(&job.request.request_id);
         // A worker could not distinguish the two.
         let _id = id.ok_or(Rejection::new(StatusCode::CONFLICT, "request-id: open already"))?;
-        if permits::admit(Instant::now(), self.shutdown.answered_by()).is_err() {
+        if permits::check_admission(Instant::now(), self.shutdown.answered_by()).is_err() {
             return Err(Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "ending"));
         }
         let request_id = job.request.request_id.clone();
@@ -212,7 +212,7 @@
             tenant,
             slots: extras.slots,
             memory: extras.memory,
-            key: key.filter(|key| !key.is_empty()).map(|key| hash(key.as_bytes())),
+            key: key.filter(|key| !key.is_empty()).map(|key| fnv1a_hash(key.as_bytes())),
             is_retry: text(headers, "client-retry")? == Some("1"),
             deadline: came + wait,
             request: ForwardedRequest {
--- a/crates/daemon/src/rules_conversion.rs
+++ b/crates/daemon/src/rules_conversion.rs
@@ -7,7 +7,7 @@
 
 use hyper::header::HeaderValue;
 use nickelflow_control_plane::{ActiveRules, ControlPlane, StartError};
-use nickelflow_engine::{hash, DegradedRules, RetryAfterBounds, Rules, WorkerRestriction};
+use nickelflow_engine::{fnv1a_hash, DegradedRules, RetryAfterBounds, Rules, WorkerRestriction};
 use nickelflow_rollout::{RulesStep, Version, WorkerAccess};
 use thiserror::Error;
 use tokio::sync::{mpsc, watch};
@@ -119,7 +119,7 @@
                 None => WorkerRestriction::Cordoned,
             },
         };
-        (hash(worker.as_bytes()), put)
+        (fnv1a_hash(worker.as_bytes()), put)
     });
     let workers = workers.collect();
     Rules {
@@ -138,7 +138,7 @@
                 .degraded
                 .allowed_workers
                 .iter()
-                .map(|worker| hash(worker.as_bytes()))
+                .map(|worker| fnv1a_hash(worker.as_bytes()))
                 .collect(),
             allows_unlisted_workers: step.degraded.allows_unlisted_workers,
             allows_unlimited_tenants: step.degraded.allows_unlimited_tenants,
--- a/crates/daemon/src/scheduler_loop.rs
+++ b/crates/daemon/src/scheduler_loop.rs
@@ -112,8 +112,8 @@
 /// Returns whether one of the outputs starts an attempt of a job or answers it.
 fn serves_job(outputs: &[Output<u64, Bytes>], job: u64) -> bool {
     outputs.iter().any(|output| match output {
-        Output::StartAttempt(start) => start.id == job,
-        Output::FinalAnswer { id, .. } => *id == job,
+        Output::StartAttempt(start) => start.job_id == job,
+        Output::FinalAnswer { job_id, .. } => *job_id == job,
         _ => false,
     })
 }
@@ -193,11 +193,11 @@
                 if self.pending.remove(&job).is_some() {
                     self.counters.client_gone.add();
                 }
-                Input::ClientDisconnected { id: job }
+                Input::ClientDisconnected { job_id: job }
             }
             Event::Progress { id: AttemptId { job, attempt } } => {
                 debug!(job, attempt, "progress");
-                Input::Progress { id: job, attempt }
+                Input::Progress { job_id: job, attempt }
             }
             Event::AttemptEnded { id, result } => self.end_attempt(id, result),
             Event::ProbeCompleted { worker, outcome, report } => {
@@ -238,7 +238,7 @@
         let pending = PendingJob { request_id, request: Arc::new(request), retry_safety, answer };
         self.pending.insert(number, pending);
         let deadline = self.clock.at(deadline);
-        Input::Job { id: number, job: Job { class, tenant, slots, memory, key, is_retry, deadline } }
+        Input::Job { job_id: number, job: Job { class, tenant, slots, memory, key, is_retry, deadline } }
     }
 
     fn end_attempt(&mut self, id: AttemptId, result: AttemptResult) -> Input<u64, SocketAddr, Bytes> {
@@ -246,7 +246,7 @@
         self.counters.ended(result.outcome);
         debug!(job, attempt, outcome = %outcome_name(result.outcome), "ended");
         self.stops.remove(&id);
-        Input::AttemptEnded { id: job, attempt, result }
+        Input::AttemptEnded { job_id: job, attempt, result }
     }
 
     /// Converts the starts in the entries of a list from Unix time to the engine's clock.
@@ -263,7 +263,7 @@
         let mut outputs = std::mem::take(&mut self.outputs);
         let now = self.clock.at(Instant::now());
         let wants_attempt = match &input {
-            Input::Job { id, .. } | Input::AttemptEnded { id, .. } => Some(*id),
+            Input::Job { job_id, .. } | Input::AttemptEnded { job_id, .. } => Some(*job_id),
             _ => None,
         };
         if let Err(misuse) = self.engine.handle(now, input, &mut outputs) {
@@ -282,10 +282,10 @@
     }
 
     fn report_violations(&mut self) {
-        for JobViolation { id, violation } in self.engine.take_violations() {
+        for JobViolation { job_id, violation } in self.engine.take_violations() {
             let Violation { operation, denial } = violation;
-            let request = self.pending.get(&id).map(|pending| pending.request_id.clone());
-            let request = request.unwrap_or(HeaderValue::from(id));
+            let request = self.pending.get(&job_id).map(|pending| pending.request_id.clone());
+            let request = request.unwrap_or(HeaderValue::from(job_id));
             violations::report(&self.counters, operation, denial, &request);
         }
     }
@@ -293,13 +293,13 @@
     fn apply_output(&mut self, output: Output<u64, Bytes>) {
         match output {
             Output::StartAttempt(start) => self.start_attempt(start),
-            Output::Cancel { id: job, attempt } => {
+            Output::Cancel { job_id: job, attempt } => {
                 if let Some(stop) = self.stops.get(&AttemptId { job, attempt }) {
                     self.counters.cancels.add();
                     stop.send_replace(StopLevel::Immediate);
                 }
             }
-            Output::CancelUnstarted { id: job, attempt } => {
+            Output::CancelUnstarted { job_id: job, attempt } => {
                 if let Some(stop) = self.stops.get(&AttemptId { job, attempt }) {
                     stop.send_if_modified(|level| {
                         let proceeds = *level == StopLevel::Continue;
@@ -310,7 +310,7 @@
                     });
                 }
             }
-            Output::FinalAnswer { id, answer } => self.answer(id, answer),
+            Output::FinalAnswer { job_id, answer } => self.answer(job_id, answer),
             Output::Probe { worker } => {
                 if let Some(known) = self.engine.worker(worker) {
                     self.counters.probes.add();
@@ -338,7 +338,7 @@
     }
 
     fn start_attempt(&mut self, start: StartAttempt<u64>) {
-        let StartAttempt { id: job, attempt, worker, deadline, send_by } = start;
+        let StartAttempt { job_id: job, attempt, worker, deadline, send_by } = start;
         let (Some(pending), Some(known)) = (self.pending.get(&job), self.engine.worker(worker)) else {
             warn!(job, instance = worker, "the engine names what the core does not know");
             return;
--- a/crates/daemon/src/write_guard.rs
+++ b/crates/daemon/src/write_guard.rs
@@ -68,7 +68,7 @@
             rules_valid_until: self.rules_valid_until,
             headers_valid_until: self.head_read + HEAD_AGE,
         };
-        permits::write(&facts)
+        permits::check_write(&facts)
     }
 
     /// What a write that began with a permit has broken all the same, as the process stood still in it.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobViolation<J> {
     /// The host's id of the job.
-    pub id: J,
+    pub job_id: J,
     /// The rule that was broken.
     pub violation: Violation,
 }
@@ -107,7 +107,7 @@
     }
 
     /// Returns the number of jobs that are not answered yet or have attempts whose end is still to be reported.
-    pub fn open_jobs(&self) -> usize {
+    pub fn open_job_count(&self) -> usize {
         self.open_jobs.len()
     }
 
@@ -142,15 +142,15 @@
     fn apply_input(&mut self, input: Input<J, A, R>) -> Result<(), EngineError> {
         match input {
             Input::WorkerList { kind, workers } => self.update_workers(kind, workers),
-            Input::Job { id, job } => self.open_job(id, job)?,
-            Input::ClientDisconnected { id } => self.disconnect_client(&id),
-            Input::Progress { id, attempt } => {
-                if let Some(&request) = self.requests.get(&id) {
+            Input::Job { job_id, job } => self.open_job(job_id, job)?,
+            Input::ClientDisconnected { job_id } => self.disconnect_client(&job_id),
+            Input::Progress { job_id, attempt } => {
+                if let Some(&request) = self.requests.get(&job_id) {
                     self.dispatch(Event::Progress { request, attempt });
                 }
             }
-            Input::Streaming { id, attempt } => self.begin_streaming(&id, attempt),
-            Input::AttemptEnded { id, attempt, result } => self.end_attempt(&id, attempt, result)?,
+            Input::Streaming { job_id, attempt } => self.begin_streaming(&job_id, attempt),
+            Input::AttemptEnded { job_id, attempt, result } => self.end_attempt(&job_id, attempt, result)?,
             Input::ProbeCompleted { worker, outcome, report } => {
                 self.workers.get(worker).ok_or(EngineError::UnknownWorker)?;
                 self.dispatch(Event::ProbeCompleted { worker: WorkerId(worker), outcome, report });
@@ -195,15 +195,15 @@
         }
     }
 
-    fn open_job(&mut self, id: J, job: Job) -> Result<(), EngineError> {
-        if self.requests.contains_key(&id) {
+    fn open_job(&mut self, job_id: J, job: Job) -> Result<(), EngineError> {
+        if self.requests.contains_key(&job_id) {
             return Err(EngineError::DuplicateJob);
         }
         let request = RequestId(self.next_request);
         self.next_request += 1;
-        self.requests.insert(id.clone(), request);
+        self.requests.insert(job_id.clone(), request);
         let open = OpenJob {
-            id,
+            id: job_id,
             class: job.class,
             deadline: Some(job.deadline),
             is_finished: false,
@@ -223,9 +223,9 @@
         Ok(())
     }
 
-    fn disconnect_client(&mut self, id: &J) {
+    fn disconnect_client(&mut self, job_id: &J) {
         // The input may cross the answer. The dispatcher has ended the request then.
-        let Some(&request) = self.requests.get(id) else { return };
+        let Some(&request) = self.requests.get(job_id) else { return };
         let Some(job) = self.open_jobs.get_mut(&request).filter(|job| !job.is_finished) else { return };
         job.is_finished = true;
         self.dispatch(Event::ClientDisconnected { request });
@@ -236,8 +236,8 @@
         self.remove_if_done(request);
     }
 
-    fn begin_streaming(&mut self, id: &J, number: u32) {
-        let Some(&request) = self.requests.get(id) else { return };
+    fn begin_streaming(&mut self, job_id: &J, number: u32) {
+        let Some(&request) = self.requests.get(job_id) else { return };
         let Some(job) = self.open_jobs.get_mut(&request).filter(|job| !job.is_finished) else { return };
         let Some(attempt) = job.attempts.get_mut(number as usize) else { return };
         // The first attempt to stream answers the client, also one that was cancelled while its answer was on the way.
@@ -249,8 +249,8 @@
         self.dispatch(Event::Streaming { request, attempt: number });
     }
 
-    fn end_attempt(&mut self, id: &J, number: u32, result: AttemptResult<R>) -> Result<(), EngineError> {
-        let request = *self.requests.get(id).ok_or(EngineError::AttemptNotInFlight)?;
+    fn end_attempt(&mut self, job_id: &J, number: u32, result: AttemptResult<R>) -> Result<(), EngineError> {
+        let request = *self.requests.get(job_id).ok_or(EngineError::AttemptNotInFlight)?;
         let job = self.open_jobs.get_mut(&request).ok_or(EngineError::AttemptNotInFlight)?;
         let attempt = job.attempts.get_mut(number as usize).ok_or(EngineError::AttemptNotInFlight)?;
         let AttemptResult { outcome, result, report } = result;
@@ -264,7 +264,7 @@
         };
         if let Some(answer) = answer.filter(|_| !job.is_finished) {
             job.is_finished = true;
-            self.outputs.push(Output::FinalAnswer { id: job.id.clone(), answer });
+            self.outputs.push(Output::FinalAnswer { job_id: job.id.clone(), answer });
         }
         let finished = job.is_finished;
         self.dispatch(Event::AttemptEnded { request, attempt: number, outcome, finished, report });
@@ -336,7 +336,7 @@
         }
         job.attempts.push(Attempt::in_flight(entry, self.now));
         self.outputs.push(Output::StartAttempt(StartAttempt {
-            id: job.id.clone(),
+            job_id: job.id.clone(),
             attempt: number,
             worker: worker.0,
             deadline,
@@ -362,7 +362,7 @@
             worker,
             worker_is_ready,
         };
-        permits::attempt(&facts).err()
+        permits::check_attempt(&facts).err()
     }
 
     fn record_violation(&mut self, request: RequestId, operation: Operation, denial: Option<Denial>) {
@@ -370,7 +370,7 @@
         let Some(job) = self.open_jobs.get(&request) else { return };
         if self.violations.len() < MAX_VIOLATIONS {
             let violation = Violation { operation, denial };
-            self.violations.push(JobViolation { id: job.id.clone(), violation });
+            self.violations.push(JobViolation { job_id: job.id.clone(), violation });
         }
     }
 
@@ -379,7 +379,7 @@
         let Some(attempt) = job.attempts.get_mut(number as usize) else { return };
         if attempt.state == AttemptState::InFlight {
             attempt.state = AttemptState::Cancelled;
-            self.outputs.push(Output::Cancel { id: job.id.clone(), attempt: number });
+            self.outputs.push(Output::Cancel { job_id: job.id.clone(), attempt: number });
         }
     }
 
@@ -387,8 +387,8 @@
     fn reject(&mut self, request: RequestId, retry_after: Nanos) {
         let Some(job) = self.open_jobs.get(&request).filter(|job| !job.is_finished) else { return };
         let class = self.permit_settings.class(job.class);
-        let denial =
-            class.and_then(|class| permits::reject(class.idempotency, &job.earlier_attempts()).err());
+        let denial = class
+            .and_then(|class| permits::check_rejection(class.idempotency, &job.earlier_attempts()).err());
         self.record_violation(request, Operation::Reject, denial);
         let answer = match denial {
             Some(_) => FinalAnswer::Failed,
@@ -401,7 +401,7 @@
         let Some(job) = self.open_jobs.get_mut(&request) else { return };
         let was_finished = std::mem::replace(&mut job.is_finished, true);
         if !was_finished {
-            self.outputs.push(Output::FinalAnswer { id: job.id.clone(), answer });
+            self.outputs.push(Output::FinalAnswer { job_id: job.id.clone(), answer });
         }
         self.remove_if_done(request);
     }
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -15,7 +15,7 @@
     pub slots: f64,
     /// Memory that it occupies while it runs, in the unit of the load reports.
     pub memory: f64,
-    /// The [`hash`](crate::hash) of the name of the data that it needs.
+    /// The [`fnv1a_hash`](crate::fnv1a_hash) of the name of the data that it needs.
     pub key: Option<u64>,
     /// The client states that it is retrying the job.
     pub is_retry: bool,
@@ -76,33 +76,33 @@
     /// A new job.
     Job {
         /// The host's id of the job, unique among the open jobs.
-        id: J,
+        job_id: J,
         /// The job itself.
         job: Job,
     },
     /// The client takes no answer any more.
     ClientDisconnected {
         /// The job of the client.
-        id: J,
+        job_id: J,
     },
     /// A running attempt has shown that its worker is alive.
     Progress {
         /// The job of the attempt.
-        id: J,
+        job_id: J,
         /// The number of the attempt.
         attempt: u32,
     },
     /// A streamed answer has begun. The job has no deadline any more; it ends with this attempt.
     Streaming {
         /// The job of the attempt.
-        id: J,
+        job_id: J,
         /// The number of the attempt.
         attempt: u32,
     },
     /// An attempt has ended.
     AttemptEnded {
         /// The job of the attempt.
-        id: J,
+        job_id: J,
         /// The number of the attempt.
         attempt: u32,
         /// How it ended.
@@ -122,7 +122,7 @@
         /// When all open jobs and those still to come are answered (ns on the engine's clock).
         deadline: Nanos,
     },
-    /// Rules that all schedulers have adopted. They name workers by [`hash`](crate::hash).
+    /// Rules that all schedulers have adopted. They name workers by [`fnv1a_hash`](crate::fnv1a_hash).
     Rules {
         /// The rules.
         rules: Arc<Rules>,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -58,7 +58,7 @@
 
 /// Returns the 64-bit FNV-1a hash of some bytes. It is the same for every scheduler and build, so that all rank the
 /// workers for a key alike; [`Job::key`] is computed with it.
-pub fn hash(bytes: &[u8]) -> u64 {
+pub fn fnv1a_hash(bytes: &[u8]) -> u64 {
     use std::hash::Hasher;
     let mut hasher = fnv::FnvHasher::default();
     hasher.write(bytes);
--- a/crates/engine/src/open_job.rs
+++ b/crates/engine/src/open_job.rs
@@ -88,7 +88,7 @@
     pub(crate) fn cancel_unstarted<R>(&self, affects: impl Fn(u32) -> bool, outputs: &mut Vec<Output<J, R>>) {
         for (number, attempt) in self.attempts.iter().enumerate() {
             if attempt.state == AttemptState::InFlight && affects(attempt.worker.worker.0) {
-                outputs.push(Output::CancelUnstarted { id: self.id.clone(), attempt: number as u32 });
+                outputs.push(Output::CancelUnstarted { job_id: self.id.clone(), attempt: number as u32 });
             }
         }
     }
--- a/crates/engine/src/output.rs
+++ b/crates/engine/src/output.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartAttempt<J> {
     /// The job of the attempt.
-    pub id: J,
+    pub job_id: J,
     /// The number of the attempt.
     pub attempt: u32,
     /// The number of the worker; [`Engine::worker`](crate::Engine::worker) returns its name and address.
@@ -51,14 +51,14 @@
     /// Cancel an attempt that is in flight.
     Cancel {
         /// The job of the attempt.
-        id: J,
+        job_id: J,
         /// The number of the attempt.
         attempt: u32,
     },
     /// Answer a job.
     FinalAnswer {
         /// The job to answer.
-        id: J,
+        job_id: J,
         /// Its answer.
         answer: FinalAnswer<R>,
     },
@@ -66,7 +66,7 @@
     /// written it ends as [`Outcome::NotSent`](crate::Outcome::NotSent); otherwise this changes nothing.
     CancelUnstarted {
         /// The job of the attempt.
-        id: J,
+        job_id: J,
         /// The number of the attempt.
         attempt: u32,
     },
--- a/crates/engine/src/permits.rs
+++ b/crates/engine/src/permits.rs
@@ -183,7 +183,7 @@
 /// # Errors
 ///
 /// Returns the reason why the attempt must not be made.
-pub fn attempt(facts: &AttemptFacts) -> Result<Permit<()>, Denial> {
+pub fn check_attempt(facts: &AttemptFacts) -> Result<Permit<()>, Denial> {
     if !facts.worker_is_ready {
         return Err(Denial::WorkerUnavailable);
     }
@@ -214,7 +214,7 @@
 /// # Errors
 ///
 /// Returns [`Denial::MayHaveRun`] if a retry by the client could run the request a second time.
-pub fn reject(idempotency: Idempotency, earlier: &[EarlierAttempt]) -> Result<Permit<()>, Denial> {
+pub fn check_rejection(idempotency: Idempotency, earlier: &[EarlierAttempt]) -> Result<Permit<()>, Denial> {
     let deduplicated_everywhere = matches!(
         idempotency,
         Idempotency::Idempotent | Idempotency::IdempotentWithKey(DeduplicationScope::All)
@@ -263,7 +263,7 @@
 /// # Errors
 ///
 /// Returns the reason why no byte may be written. Of several reasons it is one that also stops what has started.
-pub fn write<T: PartialOrd + Copy>(facts: &WriteFacts<T>) -> Result<Permit<()>, Denial> {
+pub fn check_write<T: PartialOrd + Copy>(facts: &WriteFacts<T>) -> Result<Permit<()>, Denial> {
     let has_passed = |until: Option<T>| until.is_some_and(|until| until <= facts.now);
     let unstarted = !facts.started;
     let checks = [
@@ -299,7 +299,7 @@
 /// # Errors
 ///
 /// Returns which response the client is still to receive.
-pub fn close(facts: CloseFacts) -> Result<Permit<()>, Denial> {
+pub fn check_close(facts: CloseFacts) -> Result<Permit<()>, Denial> {
     if facts.client_disconnected {
         return Ok(Permit(()));
     }
@@ -318,7 +318,7 @@
 /// # Errors
 ///
 /// Returns [`Denial::ShutDown`] once the shutdown has answered everything.
-pub fn admit<T: PartialOrd>(now: T, answered_by: Option<T>) -> Result<Permit<()>, Denial> {
+pub fn check_admission<T: PartialOrd>(now: T, answered_by: Option<T>) -> Result<Permit<()>, Denial> {
     if answered_by.is_some_and(|by| by <= now) {
         Err(Denial::ShutDown)
     } else {
--- a/crates/engine/src/worker_registry.rs
+++ b/crates/engine/src/worker_registry.rs
@@ -47,7 +47,7 @@
         let number = self.number(&name).unwrap_or(self.workers.len() as u32);
         let entry = WorkerEntry {
             worker: WorkerId(number),
-            address_hash: crate::hash(name.as_bytes()),
+            address_hash: crate::fnv1a_hash(name.as_bytes()),
             zone,
             kind,
             cell,
--- a/crates/engine/tests/permits.rs
+++ b/crates/engine/tests/permits.rs
@@ -2,8 +2,8 @@
 
 use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, WorkerEntry, WorkerId, WorkerStatus};
 use nickelflow_engine::permits::{
-    admit, attempt, close, reject, write, AttemptFacts, CloseFacts, Denial, EarlierAttempt, StopLevel,
-    WriteFacts,
+    check_admission, check_attempt, check_close, check_rejection, check_write, AttemptFacts, CloseFacts,
+    Denial, EarlierAttempt, StopLevel, WriteFacts,
 };
 use rstest::rstest;
 
@@ -60,7 +60,7 @@
         worker_is_ready: true,
     };
     change(&mut facts);
-    attempt(&facts).err()
+    check_attempt(&facts).err()
 }
 
 #[rstest]
@@ -116,7 +116,7 @@
     #[case] ran: bool,
     #[case] expected: Option<Denial>,
 ) {
-    assert_eq!(reject(idempotency, &[earlier(false, ran)]).err(), expected);
+    assert_eq!(check_rejection(idempotency, &[earlier(false, ran)]).err(), expected);
 }
 
 fn writing() -> WriteFacts<u64> {
@@ -145,12 +145,12 @@
     #[case] denial: Denial,
     #[case] also_once_started: bool,
 ) {
-    assert!(write(&writing()).is_ok());
+    assert!(check_write(&writing()).is_ok());
     let mut facts = writing();
     change(&mut facts);
-    assert_eq!(write(&facts).err(), Some(denial));
+    assert_eq!(check_write(&facts).err(), Some(denial));
     facts.started = true;
-    assert_eq!(write(&facts).err(), also_once_started.then_some(denial));
+    assert_eq!(check_write(&facts).err(), also_once_started.then_some(denial));
 }
 
 #[test]
@@ -162,7 +162,7 @@
         stop: StopLevel::IfUnstarted,
         ..writing()
     };
-    assert_eq!(write(&facts).err(), Some(Denial::DeduplicationWindowExpired));
+    assert_eq!(check_write(&facts).err(), Some(Denial::DeduplicationWindowExpired));
 }
 
 #[rstest]
@@ -175,7 +175,7 @@
     #[case] facts: CloseFacts,
     #[case] expected: Option<Denial>,
 ) {
-    assert_eq!(close(facts).err(), expected);
+    assert_eq!(check_close(facts).err(), expected);
 }
 
 fn idle() -> CloseFacts {
@@ -189,9 +189,9 @@
 
 #[test]
 fn nothing_is_admitted_once_a_shutdown_has_answered_everything() {
-    assert!(admit(5, None).is_ok());
-    assert!(admit(5, Some(6)).is_ok());
-    assert_eq!(admit(6, Some(6)).err(), Some(Denial::ShutDown));
+    assert!(check_admission(5, None).is_ok());
+    assert!(check_admission(5, Some(6)).is_ok());
+    assert_eq!(check_admission(6, Some(6)).err(), Some(Denial::ShutDown));
 }
 
 #[test]
--- a/crates/engine/tests/promises.rs
+++ b/crates/engine/tests/promises.rs
@@ -4,8 +4,8 @@
 
 use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, ServiceLimits};
 use nickelflow_engine::{
-    hash, AttemptResult, Endpoint, Engine, EngineError, FinalAnswer, Input, Job, ListKind, LoadReport, Nanos,
-    Outcome, Output, Settings, StartAttempt, WorkerStatus,
+    fnv1a_hash, AttemptResult, Endpoint, Engine, EngineError, FinalAnswer, Input, Job, ListKind, LoadReport,
+    Nanos, Outcome, Output, Settings, StartAttempt, WorkerStatus,
 };
 use proptest::prelude::*;
 
@@ -64,7 +64,15 @@
 }
 
 fn job(deadline: Nanos) -> Job {
-    Job { class: 0, tenant: None, slots: 1.0, memory: 0.0, key: Some(hash(b"k")), is_retry: false, deadline }
+    Job {
+        class: 0,
+        tenant: None,
+        slots: 1.0,
+        memory: 0.0,
+        key: Some(fnv1a_hash(b"k")),
+        is_retry: false,
+        deadline,
+    }
 }
 
 fn report(free: f64) -> Option<LoadReport> {
@@ -141,16 +149,16 @@
     fn check(&mut self, output: Output<u16, u32>) {
         match output {
             Output::StartAttempt(start) => self.check_start(&start),
-            Output::Cancel { id, attempt } => {
+            Output::Cancel { job_id: id, attempt } => {
                 let cancelled = AttemptId { job: id, attempt };
                 assert!(self.in_flight.contains(&cancelled), "a cancellation of what is not in flight");
                 assert!(self.cancelled.insert(cancelled), "a second cancellation");
             }
-            Output::CancelUnstarted { id, attempt } => {
+            Output::CancelUnstarted { job_id: id, attempt } => {
                 let withdrawn = AttemptId { job: id, attempt };
                 assert!(self.in_flight.contains(&withdrawn), "a withdrawal of what is not in flight");
             }
-            Output::FinalAnswer { id, .. } => {
+            Output::FinalAnswer { job_id: id, .. } => {
                 let job = self.jobs.get_mut(&id).expect("a job");
                 assert!(!job.client_disconnected, "an answer to nobody");
                 job.answers += 1;
@@ -163,15 +171,15 @@
     }
 
     fn check_start(&mut self, start: &StartAttempt<u16>) {
-        let job = &self.jobs[&start.id];
+        let job = &self.jobs[&start.job_id];
         assert!(job.is_open(), "an attempt for a job that is finished");
         assert!(start.deadline > self.now && start.deadline <= job.deadline);
         assert!(self.engine.worker(start.worker).is_some());
-        let next = self.attempts.entry(start.id).or_default();
+        let next = self.attempts.entry(start.job_id).or_default();
         assert_eq!(start.attempt, *next);
         *next += 1;
         assert!(*next <= self.max_attempts);
-        self.in_flight.push(AttemptId { job: start.id, attempt: start.attempt });
+        self.in_flight.push(AttemptId { job: start.job_id, attempt: start.attempt });
     }
 
     /// Lets time pass, with all wakes that come due.
@@ -191,10 +199,10 @@
         let AttemptId { job: id, attempt } = self.in_flight.swap_remove(pick % self.in_flight.len());
         let result = (outcome == Outcome::Ok).then_some(7);
         let result = AttemptResult { outcome, result, report: None };
-        self.handle(Input::AttemptEnded { id, attempt, result }).expect("its end");
+        self.handle(Input::AttemptEnded { job_id: id, attempt, result }).expect("its end");
         // Reporting the same end once more is a fault of the host and changes nothing.
         let again = AttemptResult { outcome: Outcome::Ok, result: Some(8), report: None };
-        let refused = self.handle(Input::AttemptEnded { id, attempt, result: again });
+        let refused = self.handle(Input::AttemptEnded { job_id: id, attempt, result: again });
         assert_eq!(refused, Err(EngineError::AttemptNotInFlight));
     }
 
@@ -207,13 +215,13 @@
     fn submit(&mut self, id: u16, deadline: Nanos) {
         if let Some(known) = self.jobs.get(&id) {
             if known.is_open() || self.in_flight.iter().any(|attempt| attempt.job == id) {
-                let again = Input::Job { id, job: job(deadline) };
+                let again = Input::Job { job_id: id, job: job(deadline) };
                 assert_eq!(self.handle(again), Err(EngineError::DuplicateJob));
             }
             return;
         }
         self.jobs.insert(id, SubmittedJob::new(deadline));
-        self.handle(Input::Job { id, job: job(deadline) }).expect("a new job");
+        self.handle(Input::Job { job_id: id, job: job(deadline) }).expect("a new job");
     }
 
     fn stream(&mut self, AttemptId { job: id, attempt }: AttemptId) {
@@ -222,14 +230,14 @@
         if job.answers == 0 {
             job.deadline = Nanos::MAX / 2;
         }
-        self.handle(Input::Streaming { id, attempt }).expect("a stream");
+        self.handle(Input::Streaming { job_id: id, attempt }).expect("a stream");
     }
 
     fn disconnect_client(&mut self, id: u16) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|job| job.answers == 0) {
             job.client_disconnected = true;
         }
-        self.handle(Input::ClientDisconnected { id }).expect("a client that disconnects");
+        self.handle(Input::ClientDisconnected { job_id: id }).expect("a client that disconnects");
     }
 
     fn complete_probe(&mut self, free_slots: u8) {
@@ -245,7 +253,7 @@
             Step::EndAttempt { pick, outcome } => self.end_attempt(pick, outcome),
             Step::Progress { pick } => {
                 if let Some(AttemptId { job: id, attempt }) = self.pick_in_flight(pick) {
-                    self.handle(Input::Progress { id, attempt }).expect("progress");
+                    self.handle(Input::Progress { job_id: id, attempt }).expect("progress");
                 }
             }
             Step::Stream { pick } => {
@@ -342,7 +350,7 @@
         host.advance_to(host.now + 2_000 * MS);
         let has_one_end = |job: &SubmittedJob| job.answers + u32::from(job.client_disconnected) == 1;
         prop_assert!(host.jobs.values().all(has_one_end));
-        prop_assert_eq!(host.engine.open_jobs(), 0);
+        prop_assert_eq!(host.engine.open_job_count(), 0);
     }
 }
 
@@ -356,7 +364,7 @@
     }
     let deadline = host.now + 900 * MS;
     host.jobs.insert(1, SubmittedJob::new(deadline));
-    host.handle(Input::Job { id: 1, job: job(deadline) }).expect("a job");
+    host.handle(Input::Job { job_id: 1, job: job(deadline) }).expect("a job");
     assert_eq!(host.in_flight, [FIRST_ATTEMPT]);
     host
 }
@@ -365,7 +373,7 @@
 fn an_ok_without_a_result_does_not_answer_the_job() {
     let mut host = host_with_attempt_in_flight();
     host.in_flight.clear();
-    host.handle(Input::AttemptEnded { id: 1, attempt: 0, result: Outcome::Ok.into() }).expect("an end");
+    host.handle(Input::AttemptEnded { job_id: 1, attempt: 0, result: Outcome::Ok.into() }).expect("an end");
     assert_eq!(host.jobs[&1].answers, 0);
     assert_eq!(host.in_flight, [SECOND_ATTEMPT], "it is retried");
 }
@@ -373,15 +381,15 @@
 #[test]
 fn a_broken_stream_fails_its_job_at_once_and_is_not_retried() {
     let mut host = host_with_attempt_in_flight();
-    host.handle(Input::Streaming { id: 1, attempt: 0 }).expect("a stream");
+    host.handle(Input::Streaming { job_id: 1, attempt: 0 }).expect("a stream");
     host.jobs.get_mut(&1).expect("it").deadline = Nanos::MAX / 2;
     host.advance_to(host.now + 5_000 * MS);
     assert_eq!(host.jobs[&1].answers, 0, "a stream has no deadline");
-    let reset = Input::AttemptEnded { id: 1, attempt: 0, result: Outcome::Reset.into() };
+    let reset = Input::AttemptEnded { job_id: 1, attempt: 0, result: Outcome::Reset.into() };
     let mut outputs = vec![];
     host.engine.handle(host.now, reset, &mut outputs).expect("an end");
-    assert_eq!(outputs.first(), Some(&Output::FinalAnswer { id: 1, answer: FinalAnswer::Failed }));
-    assert_eq!(host.engine.open_jobs(), 0);
+    assert_eq!(outputs.first(), Some(&Output::FinalAnswer { job_id: 1, answer: FinalAnswer::Failed }));
+    assert_eq!(host.engine.open_job_count(), 0);
 }
 
 #[test]
@@ -389,8 +397,8 @@
     let mut host = host_with_attempt_in_flight();
     // The result and the client's disconnection, at the same nanosecond: whichever is passed first counts.
     let result = AttemptResult { outcome: Outcome::Ok, result: Some(3), report: None };
-    host.handle(Input::AttemptEnded { id: 1, attempt: 0, result }).expect("an end");
-    host.handle(Input::ClientDisconnected { id: 1 }).expect("ignored");
+    host.handle(Input::AttemptEnded { job_id: 1, attempt: 0, result }).expect("an end");
+    host.handle(Input::ClientDisconnected { job_id: 1 }).expect("ignored");
     assert_eq!(host.jobs[&1].answers, 1);
 }
 
@@ -400,20 +408,22 @@
         let mut engine: TestEngine =
             Engine::new(settings(Idempotency::Idempotent), 1).expect("sound settings");
         let mut outputs = vec![];
-        engine.handle(start, Input::Job { id: 1, job: job(start + 500 * MS) }, &mut outputs).expect("a job");
+        engine
+            .handle(start, Input::Job { job_id: 1, job: job(start + 500 * MS) }, &mut outputs)
+            .expect("a job");
         while outputs.is_empty() {
             let at = engine.next_wake().expect("it wakes until all is answered");
             engine.handle(at, Input::Wake, &mut outputs).expect("a wake");
         }
-        assert!(matches!(outputs[..], [Output::FinalAnswer { id: 1, .. }]), "{outputs:?}");
+        assert!(matches!(outputs[..], [Output::FinalAnswer { job_id: 1, .. }]), "{outputs:?}");
     }
 }
 
 #[test]
 fn the_hash_is_fnv_1a() {
     // Test vectors of draft-eastlake-fnv.
-    assert_eq!(hash(b""), 0xcbf2_9ce4_8422_2325);
-    assert_eq!(hash(b"foobar"), 0x8594_4171_f739_67e8);
+    assert_eq!(fnv1a_hash(b""), 0xcbf2_9ce4_8422_2325);
+    assert_eq!(fnv1a_hash(b"foobar"), 0x8594_4171_f739_67e8);
 }
 
 /// Passes a list with one worker to an engine, and returns the jobs of the attempts that are withdrawn, in order.
@@ -422,7 +432,7 @@
     let mut outputs = Vec::new();
     engine.handle(1, Input::WorkerList { kind, workers: vec![worker] }, &mut outputs).expect("a list");
     let withdrawn = outputs.iter().filter_map(|output| match output {
-        Output::CancelUnstarted { id, .. } => Some(*id),
+        Output::CancelUnstarted { job_id, .. } => Some(*job_id),
         _ => None,
     });
     withdrawn.collect()
@@ -435,7 +445,7 @@
     assert!(withdrawn_by_list(&mut engine, ListKind::Complete, WorkerStatus::Ready).is_empty());
     let job = Job { slots: 0.01, key: None, ..job(1 << 40) };
     for id in 0..40 {
-        engine.handle(1, Input::Job { id, job: job.clone() }, &mut Vec::new()).expect("a job");
+        engine.handle(1, Input::Job { job_id: id, job: job.clone() }, &mut Vec::new()).expect("a job");
     }
     let withdrawn = withdrawn_by_list(&mut engine, ListKind::Complete, WorkerStatus::Draining);
     assert!(withdrawn.len() > 10 && withdrawn.is_sorted(), "{withdrawn:?}");
--- a/crates/engine/tests/windows.rs
+++ b/crates/engine/tests/windows.rs
@@ -143,7 +143,7 @@
             is_retry: false,
             deadline: 60 * S,
         };
-        let mut pending = vec![(S, list(0)), (JOB_AT, Input::Job { id: 1, job })];
+        let mut pending = vec![(S, list(0)), (JOB_AT, Input::Job { job_id: 1, job })];
         pending.extend(shift_after.map(|after| (JOB_AT + after, list(1))));
         Host { parameters, engine, now: S, pending, arrivals: vec![] }
     }
@@ -220,7 +220,8 @@
             self.arrivals.push(Arrival { at: arrived_at, zone, cell, attempt: start.attempt });
             (ended_at.min(start.deadline).max(self.now), outcome)
         };
-        let ended = Input::AttemptEnded { id: start.id, attempt: start.attempt, result: outcome.into() };
+        let ended =
+            Input::AttemptEnded { job_id: start.job_id, attempt: start.attempt, result: outcome.into() };
         self.pending.push((at, ended));
     }
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -4,8 +4,8 @@
 
 use nickelflow_dispatcher::{Class, DeduplicationScope, Idempotency, ServiceLimits, Tenant};
 use nickelflow_engine::{
-    hash, AttemptResult, Endpoint, Engine, FinalAnswer, Input, Job, ListKind, LoadReport, Nanos, Outcome,
-    Output, Settings, StartAttempt, WorkerStatus,
+    fnv1a_hash, AttemptResult, Endpoint, Engine, FinalAnswer, Input, Job, ListKind, LoadReport, Nanos,
+    Outcome, Output, Settings, StartAttempt, WorkerStatus,
 };
 
 use crate::wire::{self, Code, Incoming, Step};
@@ -75,16 +75,16 @@
     fn step<'a>(&'a self, order: &'a Output<String, ()>) -> Option<Step<'a>> {
         let runner = |number: u32| Some(self.engine.as_ref()?.worker(number)?.name.as_str());
         Some(match order {
-            Output::StartAttempt(StartAttempt { id, worker: instance, deadline: until, .. }) => {
+            Output::StartAttempt(StartAttempt { job_id: id, worker: instance, deadline: until, .. }) => {
                 Step::Route { id, runner: runner(*instance)?, max_wait_ns: until.saturating_sub(self.now) }
             }
-            Output::Cancel { id, attempt } => Step::Revoke { id, seq_no: *attempt },
+            Output::Cancel { job_id: id, attempt } => Step::Revoke { id, seq_no: *attempt },
             // In the simulator an attempt begins as it is decided.
             Output::CancelUnstarted { .. } => return None,
-            Output::FinalAnswer { id, answer: FinalAnswer::Rejected { retry_after } } => {
+            Output::FinalAnswer { job_id: id, answer: FinalAnswer::Rejected { retry_after } } => {
                 Step::Decline { id, pause_ns: *retry_after }
             }
-            Output::FinalAnswer { id, answer: FinalAnswer::Failed } => Step::Lose { id },
+            Output::FinalAnswer { job_id: id, answer: FinalAnswer::Failed } => Step::Lose { id },
             // The simulator gives the client the result by itself.
             Output::FinalAnswer { answer: FinalAnswer::Served(()), .. } => return None,
             Output::Probe { worker: instance } => Step::Inspect { runner: runner(*instance)? },
@@ -111,26 +111,26 @@
                 Input::WorkerList { kind, workers: instances }
             }
             Incoming::Ingress(ingress) => Input::Job {
-                id: ingress.id,
+                job_id: ingress.id,
                 job: Job {
                     class: ingress.service,
                     tenant: ingress.owner,
                     slots: ingress.cores_needed.unwrap_or(1.0),
                     memory: ingress.mem.unwrap_or(0.0),
-                    key: ingress.item.as_deref().map(|item| hash(item.as_bytes())),
+                    key: ingress.item.as_deref().map(|item| fnv1a_hash(item.as_bytes())),
                     deadline: self.now.saturating_add(ingress.left_ns),
                     is_retry: ingress.retry.unwrap_or(false),
                 },
             },
-            Incoming::UnderWay { id, seq_no } => Input::Streaming { id, attempt: seq_no },
-            Incoming::Progress { id, seq_no } => Input::Progress { id, attempt: seq_no },
+            Incoming::UnderWay { id, seq_no } => Input::Streaming { job_id: id, attempt: seq_no },
+            Incoming::Progress { id, seq_no } => Input::Progress { job_id: id, attempt: seq_no },
             Incoming::Resolved { id, code, seq_no, health_info } => {
                 let outcome = outcome(code);
                 let result = (outcome == Outcome::Ok).then_some(());
                 let end = AttemptResult { outcome, result, report: health_info.as_ref().map(report) };
-                Input::AttemptEnded { id, attempt: seq_no, result: end }
+                Input::AttemptEnded { job_id: id, attempt: seq_no, result: end }
             }
-            Incoming::CancelledByClient { id } => Input::ClientDisconnected { id },
+            Incoming::CancelledByClient { id } => Input::ClientDisconnected { job_id: id },
             Incoming::Timer {} => {
                 self.armed = self.armed.filter(|at| *at > self.now);
                 Input::Wake
--- a/crates/simulator/src/policy/bare.rs
+++ b/crates/simulator/src/policy/bare.rs
@@ -52,17 +52,20 @@
                     self.probes.push(Reverse((now + delay as Nanos, instance)));
                 }
             }
-            Input::Job { id, job } => {
+            Input::Job { job_id: id, job } => {
                 let open = std::mem::take(&mut self.open);
                 let picked = self.facts.any(&open);
                 self.open = open;
                 let Some(instance) = picked else {
-                    orders.push(Order::FinalAnswer { id, answer: FinalAnswer::Rejected { retry_after: 0 } });
+                    orders.push(Order::FinalAnswer {
+                        job_id: id,
+                        answer: FinalAnswer::Rejected { retry_after: 0 },
+                    });
                     return;
                 };
                 let (until, send_by) = (job.deadline, u64::MAX);
                 orders.push(Order::StartAttempt(StartAttempt {
-                    id,
+                    job_id: id,
                     attempt: 0,
                     worker: instance,
                     deadline: until,
@@ -74,10 +77,10 @@
                     self.probes.push(Reverse((now + self.tau, instance)));
                 }
             }
-            Input::AttemptEnded { id, result: end, .. } => {
+            Input::AttemptEnded { job_id: id, result: end, .. } => {
                 let served = end.outcome == Outcome::Ok;
                 let answer = if served { FinalAnswer::Served(()) } else { FinalAnswer::Failed };
-                orders.push(Order::FinalAnswer { id, answer });
+                orders.push(Order::FinalAnswer { job_id: id, answer });
             }
             Input::ProbeCompleted { worker: instance, report, .. } => {
                 let report = report.unwrap_or_default();
--- a/crates/simulator/src/policy/frame.rs
+++ b/crates/simulator/src/policy/frame.rs
@@ -7,7 +7,7 @@
 use fnv::FnvHashMap;
 use nickelflow_dispatcher::{DeduplicationScope, Idempotency, Settings};
 use nickelflow_engine::{
-    hash, FinalAnswer, Job, ListKind, LoadReport, Nanos, Outcome, StartAttempt, WorkerStatus,
+    fnv1a_hash, FinalAnswer, Job, ListKind, LoadReport, Nanos, Outcome, StartAttempt, WorkerStatus,
 };
 use smallvec::SmallVec;
 
@@ -91,7 +91,7 @@
             let number = *self.numbers.entry(instance.name.clone()).or_insert(self.seen.len() as u32);
             if number as usize == self.seen.len() {
                 new.push(number);
-                let hash = hash(instance.name.as_bytes());
+                let hash = fnv1a_hash(instance.name.as_bytes());
                 let (place, cell) = (instance.address, instance.cell);
                 self.seen.push(Seen { place, hash, cell, ready, out: 0, report: None, since: 0 });
             }
@@ -250,7 +250,7 @@
         }
         let until = open.job.deadline;
         orders.push(Order::StartAttempt(StartAttempt {
-            id,
+            job_id: id,
             attempt,
             worker: instance,
             deadline: until,
@@ -271,7 +271,7 @@
             );
         let retry_after = self.facts.settings.max_retry_after;
         let answer = if harmless { FinalAnswer::Rejected { retry_after } } else { FinalAnswer::Failed };
-        orders.push(Order::FinalAnswer { id, answer });
+        orders.push(Order::FinalAnswer { job_id: id, answer });
         self.call_back(id, orders);
         self.forget(id);
     }
@@ -279,7 +279,7 @@
     fn call_back(&self, id: u64, orders: &mut Vec<Order>) {
         let Some(open) = self.open.get(&id) else { return };
         let out = open.attempts.iter().enumerate().filter(|(_, a)| a.out);
-        orders.extend(out.map(|(n, _)| Order::Cancel { id, attempt: n as u32 }));
+        orders.extend(out.map(|(n, _)| Order::Cancel { job_id: id, attempt: n as u32 }));
     }
 
     fn forget(&mut self, id: u64) {
@@ -307,7 +307,7 @@
         }
         if outcome == Outcome::Ok && !open.over {
             open.over = true;
-            orders.push(Order::FinalAnswer { id, answer: FinalAnswer::Served(()) });
+            orders.push(Order::FinalAnswer { job_id: id, answer: FinalAnswer::Served(()) });
             self.call_back(id, orders);
         } else if !open.over {
             self.go_on(now, id, truth, orders);
@@ -329,19 +329,19 @@
                 }
                 self.facts.list(kind, instances);
             }
-            Input::Job { id, job } => {
+            Input::Job { job_id: id, job } => {
                 self.wakes.push(Reverse((job.deadline.saturating_sub(MARGIN), id)));
                 self.open.insert(id, Open { job, attempts: SmallVec::new(), over: false });
                 self.go_on(now, id, truth, orders);
             }
-            Input::ClientDisconnected { id } => {
+            Input::ClientDisconnected { job_id: id } => {
                 if let Some(open) = self.open.get_mut(&id).filter(|open| !open.over) {
                     open.over = true;
                     self.call_back(id, orders);
                     self.forget(id);
                 }
             }
-            Input::AttemptEnded { id, attempt, result: end } => {
+            Input::AttemptEnded { job_id: id, attempt, result: end } => {
                 self.ended(now, id, attempt, end.outcome, truth, orders)
             }
             Input::ProbeCompleted { worker: instance, outcome, report } => {
--- a/crates/simulator/src/traffic.rs
+++ b/crates/simulator/src/traffic.rs
@@ -262,8 +262,10 @@
             figure.ok_or_else(|| fail(&format!("{name} must be a number from 0 to 1e9, not {field}")))
         };
         let (at, work, tenant) = (seconds(figure("seconds")?), figure("work_ms")?, figure("tenant")? as u32);
-        let key =
-            fields.next().filter(|key| !key.is_empty()).map(|key| nickelflow_engine::hash(key.as_bytes()));
+        let key = fields
+            .next()
+            .filter(|key| !key.is_empty())
+            .map(|key| nickelflow_engine::fnv1a_hash(key.as_bytes()));
         if rows.last().is_some_and(|last| last.at > at) {
             return Err(fail("seconds go backwards"));
         }
--- a/crates/simulator/src/world/clients.rs
+++ b/crates/simulator/src/world/clients.rs
@@ -103,7 +103,7 @@
             is_retry: self.scenario.clients.marks_retry && retries > 0,
             deadline,
         };
-        self.give(scheduler, Input::Job { id: job, job: facts });
+        self.give(scheduler, Input::Job { job_id: job, job: facts });
     }
 
     /// A client leaves before its time; its scheduler hears of that a little later.
@@ -121,7 +121,7 @@
         t.held = false;
         let scheduler = t.scheduler;
         self.note(Record::Left { job, overdue: false });
-        self.give(scheduler, Input::ClientDisconnected { id: job });
+        self.give(scheduler, Input::ClientDisconnected { job_id: job });
         self.forget(job);
     }
 
@@ -144,7 +144,7 @@
         let (request, scheduler) = (t.request, t.scheduler);
         if held {
             self.note(Record::Left { job, overdue: true });
-            self.give(scheduler, Input::ClientDisconnected { id: job });
+            self.give(scheduler, Input::ClientDisconnected { job_id: job });
         }
         if !over {
             self.settle(&request, Fate::Failed);
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -182,7 +182,7 @@
     pub(super) fn noted(&mut self, id: AttemptId) {
         let Some(t) = self.get(id.job).filter(|t| t.held) else { return };
         let scheduler = t.scheduler;
-        self.give(scheduler, crate::policy::Input::Progress { id: id.job, attempt: id.attempt });
+        self.give(scheduler, crate::policy::Input::Progress { job_id: id.job, attempt: id.attempt });
     }
 
     /// A running job tells how far it is, unless the machine stands.
--- a/crates/simulator/src/world/schedulers.rs
+++ b/crates/simulator/src/world/schedulers.rs
@@ -78,12 +78,12 @@
     fn carry(&mut self, scheduler: u32, order: Order) {
         match order {
             Order::StartAttempt(execute) => self.execute(scheduler, execute),
-            Order::Cancel { id, attempt } => {
+            Order::Cancel { job_id: id, attempt } => {
                 self.at(self.now, Ev::Back { id: AttemptId { job: id, attempt }, ending: Ending::CalledOff });
             }
             // An attempt begins here as it is decided.
             Order::CancelUnstarted { .. } => {}
-            Order::FinalAnswer { id, answer } => {
+            Order::FinalAnswer { job_id: id, answer } => {
                 let answer = match answer {
                     FinalAnswer::Served(()) => Final::Served,
                     FinalAnswer::Rejected { retry_after } => Final::Refused(retry_after),
@@ -161,7 +161,7 @@
 
     fn execute(&mut self, scheduler: u32, execute: StartAttempt<u64>) {
         // Connections here come up within a few milliseconds or not at all: nothing can outlast `send_by`.
-        let StartAttempt { id: job, attempt, worker: instance, deadline: until, .. } = execute;
+        let StartAttempt { job_id: job, attempt, worker: instance, deadline: until, .. } = execute;
         let Some(place) = self.place(scheduler, instance) else { return };
         if self.get(job).is_none() {
             return;
@@ -232,7 +232,7 @@
             result: (ending == Ending::Served).then_some(()),
             report: None,
         };
-        self.give(scheduler, Input::AttemptEnded { id: id.job, attempt: id.attempt, result: end });
+        self.give(scheduler, Input::AttemptEnded { job_id: id.job, attempt: id.attempt, result: end });
         self.forget(id.job);
     }
 
