--- a/crates/daemon/src/endpoint_list.rs
+++ b/crates/daemon/src/endpoint_list.rs
@@ -82,7 +82,7 @@
         kind: number("type", &names.kinds)?,
         cell: field.opt("group")?.map_or(Ok(0), |cell| cell.whole())?,
         status,
-        weight: field.opt("weight")?.map_or(Ok(1.0), |weight| weight.number())?,
-        started: (since > 0).then(|| since.saturating_mul(1_000_000)),
+        registered_size: field.opt("weight")?.map_or(Ok(1.0), |weight| weight.number())?,
+        started_at: (since > 0).then(|| since.saturating_mul(1_000_000)),
     })
 }
--- a/crates/daemon/src/scheduler_loop.rs
+++ b/crates/daemon/src/scheduler_loop.rs
@@ -252,9 +252,9 @@
     /// Converts the starts in the entries of a list from Unix time to the engine's clock.
     fn with_start_times(&mut self, mut entries: Vec<WorkerEndpoint>) -> Vec<WorkerEndpoint> {
         let now = self.clock.at(Instant::now());
-        self.start_times.observe(now, entries.iter().filter_map(|entry| entry.started));
+        self.start_times.observe(now, entries.iter().filter_map(|entry| entry.started_at));
         for entry in &mut entries {
-            entry.started = entry.started.map(|unix| self.start_times.convert(&entry.name, unix));
+            entry.started_at = entry.started_at.map(|unix| self.start_times.convert(&entry.name, unix));
         }
         entries
     }
--- a/crates/daemon/tests/text_format.rs
+++ b/crates/daemon/tests/text_format.rs
@@ -48,7 +48,7 @@
     let full = &known.entries[0];
     assert_eq!(full.address.to_string(), "127.0.0.3:9000");
     assert_eq!((full.zone, full.kind, full.cell), (1, 1, 6));
-    assert_eq!((full.weight, full.started), (2.5, Some(1_700 * MS)));
+    assert_eq!((full.registered_size, full.started_at), (2.5, Some(1_700 * MS)));
 }
 
 #[test]
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -40,9 +40,9 @@
     /// Whether it takes jobs.
     pub status: WorkerStatus,
     /// Its registered size relative to other workers, above 0; 1 where none is known.
-    pub weight: f64,
+    pub registered_size: f64,
     /// When its process last started (ns on the engine's clock); `None` if that was long ago.
-    pub started: Option<Nanos>,
+    pub started_at: Option<Nanos>,
 }
 
 /// How an attempt ended.
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! 1. Create an [`Engine`] from settings and a seed, and pass it the workers with [`Input::WorkerList`].
 //! 2. Pass everything that happens to [`Engine::handle`], with its time and in the order in which it happened. Times are
-//!    [`Nanos`] of a monotonic clock of the host's choice, against which [`Endpoint::started`] can be compared; a time
+//!    [`Nanos`] of a monotonic clock of the host's choice, against which [`Endpoint::started_at`] can be compared; a time
 //!    that is earlier than the last counts as the last.
 //! 3. Carry out the [`Output`]s that it appends, in order. An output may be carried out at any later time; the result
 //!    is a further input.
--- a/crates/engine/src/worker_registry.rs
+++ b/crates/engine/src/worker_registry.rs
@@ -43,7 +43,7 @@
 
     /// Records an entry of an endpoint list and returns it as the dispatcher takes it. A new name gets the next number.
     pub(crate) fn update(&mut self, endpoint: Endpoint<A>) -> WorkerEntry {
-        let Endpoint { name, address, zone, kind, cell, status, weight, started } = endpoint;
+        let Endpoint { name, address, zone, kind, cell, status, registered_size, started_at } = endpoint;
         let number = self.number(&name).unwrap_or(self.workers.len() as u32);
         let entry = WorkerEntry {
             worker: WorkerId(number),
@@ -52,8 +52,8 @@
             kind,
             cell,
             status,
-            weight,
-            started,
+            weight: registered_size,
+            started: started_at,
         };
         let is_ready = status == WorkerStatus::Ready;
         match self.workers.get_mut(number as usize) {
--- a/crates/engine/tests/promises.rs
+++ b/crates/engine/tests/promises.rs
@@ -58,8 +58,8 @@
         kind: 0,
         cell: number / 2,
         status,
-        weight: 1.0,
-        started: None,
+        registered_size: 1.0,
+        started_at: None,
     }
 }
 
--- a/crates/engine/tests/windows.rs
+++ b/crates/engine/tests/windows.rs
@@ -62,8 +62,8 @@
         kind: 0,
         cell: (n + shift) / 2,
         status: WorkerStatus::Ready,
-        weight: 1.0,
-        started: None,
+        registered_size: 1.0,
+        started_at: None,
     };
     (0..6).map(endpoint).collect()
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -157,8 +157,8 @@
             wire::State::Draining => WorkerStatus::Draining,
             wire::State::Gone => WorkerStatus::Gone,
         },
-        weight: node.nominal.unwrap_or(1.0),
-        started: node.born_ns.filter(|t| *t > 0),
+        registered_size: node.nominal.unwrap_or(1.0),
+        started_at: node.born_ns.filter(|t| *t > 0),
     }
 }
 
--- a/crates/simulator/src/world/schedulers.rs
+++ b/crates/simulator/src/world/schedulers.rs
@@ -404,8 +404,8 @@
                 Standing::Draining => WorkerStatus::Draining,
                 Standing::Gone => WorkerStatus::Gone,
             },
-            weight: workers[listing.machine as usize].make.cores,
-            started: listing.started,
+            registered_size: workers[listing.machine as usize].make.cores,
+            started_at: listing.started,
         };
         let instances = list.into_iter().map(instance).collect();
         self.give(scheduler, Input::WorkerList { kind, workers: instances });
