--- a/crates/dispatcher/src/dispatcher/admission.rs
+++ b/crates/dispatcher/src/dispatcher/admission.rs
@@ -56,7 +56,7 @@
         let job = self.create_job(request);
         self.timers.start(job.deadline, Timer::Deadline(request_id));
         self.arrival_count += 1;
-        self.arrival_rate.count(self.now);
+        self.arrival_rate.record_arrival(self.now);
         self.probe_budget.add_request();
         self.jobs.insert(request_id, job);
         self.dispatch(request_id, actions);
--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -135,7 +135,7 @@
         let Some(job) = self.jobs.get_mut(&attempt_id.request) else { return };
         let Some(attempt) = job.attempts.get_mut(attempt_id.number as usize) else { return };
         let kind = attempt.entry.kind;
-        let slow_start_weight = self.settings.limits.slow_start_weight(attempt.entry.started, self.now, 0);
+        let slow_start_weight = self.settings.limits.slow_start_weight(attempt.entry.started_at, self.now, 0);
         let is_warm = slow_start_weight.is_none();
         if !is_warm && self.service_rates.has_warm_samples(kind) {
             return;
@@ -143,7 +143,7 @@
         let worker = self.workers.get(attempt.worker).filter(|_| is_warm);
         let report = worker.and_then(|worker| worker.last_report.as_ref());
         let other_jobs = report.and_then(|report| self.service_rates.jobs_at_worker(kind, report));
-        self.service_rates.job_began(kind, job.request.class, other_jobs, self.now);
+        self.service_rates.job_started(kind, job.request.class, other_jobs, self.now);
         attempt.counted_since = Some(self.now);
     }
 
@@ -192,8 +192,9 @@
             self.class_stats[ended.class as usize].record_run(run as f64);
         }
         if let Some(counted_since) = ended.counted_since {
-            let slow_start_weight = self.settings.limits.slow_start_weight(ended.entry.started, self.now, 0);
-            let sample = ServiceSample::of(outcome, slow_start_weight);
+            let slow_start_weight =
+                self.settings.limits.slow_start_weight(ended.entry.started_at, self.now, 0);
+            let sample = ServiceSample::from_outcome(outcome, slow_start_weight);
             self.service_rates.job_ended(ended.entry.kind, ended.class, counted_since, self.now, sample);
         }
     }
@@ -257,7 +258,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(job) = self.jobs.get_mut(&request_id) else { return };
-        job.is_finished |= outcome.finished;
+        job.is_finished |= outcome.request_is_finished;
         if job.is_finished {
             self.finish_request(request_id);
         } else if outcome.outcome == Outcome::InvalidJob {
--- a/crates/dispatcher/src/dispatcher/membership.rs
+++ b/crates/dispatcher/src/dispatcher/membership.rs
@@ -50,7 +50,7 @@
         // All entries are counted before any is applied, because the number of ready workers decides whether
         // a new worker is probed at once.
         self.workers.count_ready(&entries);
-        self.arrival_rate.workers_listed(self.workers.ready_count());
+        self.arrival_rate.record_worker_count(self.workers.ready_count());
         for entry in entries {
             self.apply_entry(entry);
         }
@@ -88,7 +88,7 @@
         let is_ready = entry.status == WorkerStatus::Ready;
         let timer_number =
             self.workers.get(worker_index).map_or(0, |previous| previous.probe.next_timer_number());
-        let bucket_jitter = entry.started.map_or(0.0, |_| self.rng.f64());
+        let bucket_jitter = entry.started_at.map_or(0.0, |_| self.rng.f64());
         let bucket = TokenBucket::new(self.settings.dispatchers, bucket_jitter, self.now);
         let mut worker = Worker::new(entry, bucket, timer_number, self.now);
         worker.is_ready = is_ready;
--- a/crates/dispatcher/src/dispatcher/mod.rs
+++ b/crates/dispatcher/src/dispatcher/mod.rs
@@ -86,7 +86,7 @@
     ///
     /// Returns the first setting that is missing or impossible.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         Ok(Dispatcher {
             rng: fastrand::Rng::with_seed(seed),
             now: 0,
@@ -135,8 +135,8 @@
                     job.is_streaming = true;
                 }
             }
-            Event::AttemptEnded { request, attempt: number, outcome, finished, report } => {
-                let outcome = AttemptOutcome { outcome, finished, report };
+            Event::AttemptEnded { request, attempt: number, outcome, request_is_finished, report } => {
+                let outcome = AttemptOutcome { outcome, request_is_finished, report };
                 self.end_attempt(AttemptId { request, number }, &outcome, actions);
             }
             Event::ProbeCompleted { worker, outcome, report } => {
@@ -150,7 +150,7 @@
             Event::Rules { rules, valid_until } => self.apply_rules(rules, valid_until, actions),
             // A caller with a coarser clock may wake the dispatcher slightly early. The requested wake-up
             // then counts as delivered, and the next one is requested.
-            Event::Wake => self.timers.note_wake(self.now + self.settings.clock_resolution),
+            Event::Wake => self.timers.record_wake(self.now + self.settings.clock_resolution),
         }
     }
 
--- a/crates/dispatcher/src/dispatcher/slow_start.rs
+++ b/crates/dispatcher/src/dispatcher/slow_start.rs
@@ -16,7 +16,7 @@
     /// Returns the smallest share of its capacity that a warming worker has now; `None` if the worker is
     /// warm.
     pub(super) fn slow_start_weight(&self, worker: &Worker) -> Option<f64> {
-        self.settings.limits.slow_start_weight(worker.entry.started, self.now, 0)
+        self.settings.limits.slow_start_weight(worker.entry.started_at, self.now, 0)
     }
 
     /// Returns whether a worker has been listed and is warming up.
@@ -83,7 +83,7 @@
             random: self.rng.f64(),
         };
         let Some(worker) = self.workers.get_mut(worker_index) else { return };
-        let is_admitted = self.slow_start_admission.admits(&request, &mut worker.slow_start_requests);
+        let is_admitted = self.slow_start_admission.try_admit(&request, &mut worker.slow_start_requests);
         if let Some(job) = self.jobs.get_mut(&request_id) {
             job.slow_start_draws.push(SlowStartDraw {
                 worker: worker_index,
