--- a/crates/dispatcher/src/dispatcher/admission.rs
+++ b/crates/dispatcher/src/dispatcher/admission.rs
@@ -8,7 +8,7 @@
 use crate::held_requests::{HoldPosition, HoldRank};
 use crate::ids::RequestId;
 use crate::job::Job;
-use crate::paper::K;
+use crate::parameters::K;
 use crate::settings::{DeduplicationScope, Idempotency};
 use crate::time::{Nanos, MILLISECOND};
 use crate::timers::Timer;
@@ -91,7 +91,7 @@
         };
         Job {
             request,
-            arrival: self.arrivals,
+            arrival_number: self.arrivals,
             deadline,
             hold_until,
             quota_use,
@@ -160,7 +160,7 @@
     /// Puts the request into the hold queue, or moves it there to another rank.
     fn hold(&mut self, id: RequestId, rank: HoldRank) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let position = HoldPosition { rank, arrival: job.arrival };
+        let position = HoldPosition { rank, arrival_number: job.arrival_number };
         let former = job.hold_position.replace(position);
         self.held.put(id, former, position, &job.candidates);
         let (hold_until, slots, memory) = (job.hold_until, job.request.slots, job.request.memory);
--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -106,10 +106,10 @@
         let Some(job) = self.jobs.get_mut(&id.request) else { return };
         let attempt = job.attempts.get_mut(id.number as usize);
         let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight) else { return };
-        let order = SignalOrder::after(attempt.first_signal_at);
+        let order = SignalOrder::from_first_signal(attempt.first_signal_at);
         attempt.first_signal_at.get_or_insert(self.now);
         if let Some(worker) = self.workers.get_mut(attempt.worker) {
-            worker.health.attempt_signal(self.now, order, SignalSource::Worker);
+            worker.health.signal_received(self.now, order, SignalSource::Worker);
         }
         if order == SignalOrder::First && self.settings.notifies_job_start {
             self.count_at_worker(id);
@@ -202,7 +202,7 @@
             return;
         }
         worker.load.job_ended(now, ended.slots, ended.memory);
-        let order = SignalOrder::after(ended.first_signal_at);
+        let order = SignalOrder::from_first_signal(ended.first_signal_at);
         let worker_is_silent = worker.health.is_silent(now, max_silence);
         match outcome.outcome {
             Outcome::Ok => worker.record_success(),
@@ -222,7 +222,7 @@
             Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => SignalSource::Local,
             _ => SignalSource::Worker,
         };
-        worker.health.attempt_signal(now, order, source);
+        worker.health.signal_received(now, order, source);
         if let Some(report) = outcome.report.filter(|_| !worker.is_ejected()) {
             worker.apply_report(now, &report, share);
         }
--- a/crates/dispatcher/src/dispatcher/membership.rs
+++ b/crates/dispatcher/src/dispatcher/membership.rs
@@ -43,10 +43,10 @@
         match kind {
             ListKind::Failed => return self.schedule_subscription(),
             ListKind::Changes | ListKind::Stale => {}
-            ListKind::Complete | ListKind::Cached => self.workers.retain_listed(&entries),
+            ListKind::Complete | ListKind::Cached => self.workers.mark_unlisted_gone(&entries),
         }
         // All of them first: how many there are decides whether each is probed for a start.
-        self.workers.count_ready(&entries);
+        self.workers.update_ready_ring(&entries);
         self.arrival_rate.record_worker_count(self.workers.ready_count());
         for entry in entries {
             self.apply_entry(entry);
@@ -73,7 +73,7 @@
     fn apply_entry(&mut self, entry: WorkerEntry) {
         let index = entry.worker.0 as usize;
         match self.workers.update_entry(&entry) {
-            EntryChange::None => self.workers.update_indexes(index),
+            EntryChange::Unchanged => self.workers.update_indexes(index),
             EntryChange::NoLongerReady => self.update_open_state(index),
             EntryChange::Started => self.add_worker(entry),
         }
@@ -83,16 +83,17 @@
     fn add_worker(&mut self, entry: WorkerEntry) {
         let index = entry.worker.0 as usize;
         let is_ready = entry.status == WorkerStatus::Ready;
-        let timer_number = self.workers.get(index).map_or(0, |former| former.probe.next_timer_number());
+        let timer_generation =
+            self.workers.get(index).map_or(0, |former| former.probe.next_timer_generation());
         let random = entry.started_at.map_or(0.0, |_| self.rng.f64());
         let bucket = TokenBucket::new(self.settings.dispatchers, random, self.now);
-        let mut worker = Worker::new(entry, bucket, timer_number, self.now);
+        let mut worker = Worker::new(entry, bucket, timer_generation, self.now);
         worker.is_ready = is_ready;
         if is_ready && self.settings.can_probe && !self.has_low_traffic() {
-            let number = worker.probe.schedule_first();
+            let generation = worker.probe.schedule_first();
             let max_delay = MAX_FIRST_PROBE_DELAY * u64::from(self.settings.dispatchers);
             let delay = self.rng.u64(0..max_delay);
-            self.timers.start(self.now + delay, Timer::Probe { worker: index, number });
+            self.timers.start(self.now + delay, Timer::Probe { worker: index, generation });
         } else if is_ready && !self.settings.can_probe {
             worker.load.assume_idle();
         }
--- a/crates/dispatcher/src/dispatcher/probing.rs
+++ b/crates/dispatcher/src/dispatcher/probing.rs
@@ -7,12 +7,12 @@
 use crate::event::{LoadReport, Outcome};
 use crate::ids::{RequestId, WorkerId};
 use crate::job::Job;
-use crate::paper::TAU;
+use crate::parameters::TAU;
 use crate::probe_budget::ProbeBudget;
 use crate::time::{Nanos, MILLISECOND};
 use crate::timers::Timer;
 use crate::worker::{FailureWeight, MAX_DOUBLINGS};
-use crate::worker_load::{LowTrafficShare, ReportShare};
+use crate::worker_load::{LowTrafficInputs, ReportShare};
 
 /// A probe unanswered for this long (ns) counts as failed.
 const PROBE_TIMEOUT: Nanos = 2_000 * MILLISECOND;
@@ -48,10 +48,10 @@
         let is_shared_fault = worker.fails_repeatedly() && most_are_failing;
         let max_doublings = if is_shared_fault { MAX_DOUBLINGS_OF_SHARED_FAULT } else { MAX_DOUBLINGS };
         let backoff_factor = worker.backoff_factor(max_doublings);
-        let number = worker.probe.schedule();
-        let interval = ProbeBudget::affordable_interval(worker_count, self.arrival_rate.per_s());
+        let generation = worker.probe.schedule();
+        let interval = ProbeBudget::affordable_interval_ns(worker_count, self.arrival_rate.per_s());
         let delay = self.jittered((interval.max(TAU as f64) * backoff_factor) as Nanos);
-        self.timers.start(self.now + delay, Timer::Probe { worker: index, number });
+        self.timers.start(self.now + delay, Timer::Probe { worker: index, generation });
     }
 
     /// Updates the state of all workers, and gives them what is held.
@@ -112,26 +112,26 @@
             return;
         }
         let pause = (TAU as f64 * worker.backoff_factor(MAX_DOUBLINGS)) as Nanos;
-        let number = worker.probe.schedule_for_job(now, now + pause);
+        let generation = worker.probe.schedule_for_job(now, now + pause);
         self.probe_budget.spend();
-        self.run_probe_timer(index, number, actions);
+        self.run_probe_timer(index, generation, actions);
     }
 
     /// Sends the scheduled probe, or gives up the one in flight.
-    pub(super) fn run_probe_timer(&mut self, index: usize, number: u32, actions: &mut Vec<Action>) {
+    pub(super) fn run_probe_timer(&mut self, index: usize, generation: u32, actions: &mut Vec<Action>) {
         let Some(worker) = self.workers.get_mut(index) else { return };
-        if !worker.probe.is_current(number) {
+        if !worker.probe.is_current(generation) {
             return;
         }
         if worker.probe.is_in_flight() {
             // No answer came, not even a failed one.
             worker.record_failure(FailureWeight::Full);
-            worker.probe.lost();
+            worker.probe.mark_lost();
             self.update_open_state(index);
         } else if worker.probe.take_scheduled() && !self.active_rules.excludes(worker.entry.address_hash) {
-            worker.probe.sent();
+            worker.probe.mark_sent();
             actions.push(Action::Probe { worker: WorkerId(index as u32) });
-            self.timers.start(self.now + PROBE_TIMEOUT, Timer::Probe { worker: index, number });
+            self.timers.start(self.now + PROBE_TIMEOUT, Timer::Probe { worker: index, generation });
         }
     }
 
@@ -157,7 +157,7 @@
         } else if outcome != Outcome::NotSent {
             worker.record_failure(FailureWeight::Full);
         }
-        worker.probe.ended(self.now);
+        worker.probe.mark_ended(self.now);
         if worker.load.free_slots().is_some() {
             self.service_rates.record_slots(worker.entry.kind, worker.load.known_slots());
         }
@@ -189,7 +189,7 @@
         let slow_start_weight = worker.and_then(|worker| self.slow_start_weight(worker));
         let relative_demand =
             slow_start_weight.map_or(1.0, |weight| (weight / self.mean_traffic_weight).min(1.0));
-        let inputs = LowTrafficShare {
+        let inputs = LowTrafficInputs {
             jobs_per_report: self.jobs_per_report() / self.workers.ready_count().max(1) as f64,
             relative_demand,
             slow_start_weight,
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -6,7 +6,7 @@
 use crate::hash_ring::{mix, shuffle_first};
 use crate::ids::RequestId;
 use crate::job::Job;
-use crate::paper::{K, K_WITH_AFFINITY};
+use crate::parameters::{K, K_WITH_AFFINITY};
 use crate::settings::Idempotency;
 use crate::slow_start_admission::WarmingSample;
 use crate::time::{Nanos, NANOS_PER_SECOND};
@@ -171,7 +171,7 @@
             let is_allowed = self.active_rules.allows(worker.entry.address_hash, tenant, self.now);
             is_allowed.then_some(1.0)
         };
-        let mut ranked = self.workers.ready().rank(key, AFFINITY_NEIGHBOURS, weight);
+        let mut ranked = self.workers.ready_ring().rank(key, AFFINITY_NEIGHBOURS, weight);
         ranked.truncate(AFFINITY_WORKERS);
         ranked
     }
@@ -229,7 +229,7 @@
             }
             self.traffic_weight(index)
         };
-        self.workers.ready().rank(key, LOW_TRAFFIC_NEIGHBOURS, weight)
+        self.workers.ready_ring().rank(key, LOW_TRAFFIC_NEIGHBOURS, weight)
     }
 
     /// Returns the job's first open candidate. Those before it are probed first: sent past one, a key would
@@ -256,6 +256,6 @@
 /// It is the same at all dispatchers for one key and worker, so that a worker sheds whole keys: shed job by
 /// job, each key would be fetched at two workers, and push others out of both.
 fn sampling_allowance(worker: &Worker, job: &Job) -> f64 {
-    let drawn = mix(job.request.key.unwrap_or(job.arrival) ^ mix(!worker.entry.address_hash));
+    let drawn = mix(job.request.key.unwrap_or(job.arrival_number) ^ mix(!worker.entry.address_hash));
     drawn as f64 / u64::MAX as f64
 }
--- a/crates/dispatcher/src/health_signals.rs
+++ b/crates/dispatcher/src/health_signals.rs
@@ -29,7 +29,7 @@
 
 impl SignalOrder {
     /// Returns the order of a signal by when the first one came.
-    pub(crate) fn after(first_signal_at: Option<Nanos>) -> Self {
+    pub(crate) fn from_first_signal(first_signal_at: Option<Nanos>) -> Self {
         match first_signal_at {
             None => SignalOrder::First,
             Some(_) => SignalOrder::Repeated,
@@ -54,7 +54,7 @@
     }
 
     /// Notes news of an attempt.
-    pub(crate) fn attempt_signal(&mut self, now: Nanos, order: SignalOrder, source: SignalSource) {
+    pub(crate) fn signal_received(&mut self, now: Nanos, order: SignalOrder, source: SignalSource) {
         if order == SignalOrder::First {
             self.unconfirmed = self.unconfirmed.saturating_sub(1);
         }
--- a/crates/dispatcher/src/held_requests.rs
+++ b/crates/dispatcher/src/held_requests.rs
@@ -25,13 +25,13 @@
     /// The request's rank.
     pub(crate) rank: HoldRank,
     /// Its number in the order of arrival.
-    pub(crate) arrival: u64,
+    pub(crate) arrival_number: u64,
 }
 
 impl HoldPosition {
     /// Returns the position behind all requests of a rank.
     pub(crate) fn end_of(rank: HoldRank) -> Self {
-        HoldPosition { rank, arrival: u64::MAX }
+        HoldPosition { rank, arrival_number: u64::MAX }
     }
 }
 
--- a/crates/dispatcher/src/job.rs
+++ b/crates/dispatcher/src/job.rs
@@ -70,7 +70,7 @@
     /// The request.
     pub(crate) request: Request,
     /// Its number in the order of arrival.
-    pub(crate) arrival: u64,
+    pub(crate) arrival_number: u64,
     /// When it must have its final answer.
     pub(crate) deadline: Nanos,
     /// Until when it may be held as one that can still be answered in time.
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -97,7 +97,7 @@
 pub mod index_set;
 mod job;
 pub mod key_frequency;
-mod paper;
+mod parameters;
 mod probe_budget;
 mod rules;
 pub mod service_rate;
--- a/crates/dispatcher/src/probe_budget.rs
+++ b/crates/dispatcher/src/probe_budget.rs
@@ -36,7 +36,7 @@
     /// Returns the time (ns) between two probes of a worker with which as many are sent as the requests pay
     /// for, if all workers are closed. With hundreds of dispatchers that each see little traffic, probing
     /// every closed worker each tau would be more work than the jobs.
-    pub(crate) fn affordable_interval(workers: usize, arrivals_per_s: f64) -> f64 {
+    pub(crate) fn affordable_interval_ns(workers: usize, arrivals_per_s: f64) -> f64 {
         workers as f64 / (PROBES_PER_REQUEST * arrivals_per_s) * NANOS_PER_SECOND
     }
 }
--- a/crates/dispatcher/src/timers.rs
+++ b/crates/dispatcher/src/timers.rs
@@ -16,7 +16,7 @@
     /// The attempt has given no sign of life: another may be started in its place.
     Hedge(AttemptId),
     /// The worker is to be probed, or its probe has been lost; a timer of an earlier number is void.
-    Probe { worker: usize, number: u32 },
+    Probe { worker: usize, generation: u32 },
     /// A warming worker's token bucket may hold enough for another job.
     DrainHoldQueue { worker: usize },
     /// The held request's next candidate is to be probed; a search of an earlier number is void.
--- a/crates/dispatcher/src/worker.rs
+++ b/crates/dispatcher/src/worker.rs
@@ -2,7 +2,7 @@
 
 use crate::event::LoadReport;
 use crate::health_signals::HealthSignals;
-use crate::paper::{K, K_WITH_AFFINITY};
+use crate::parameters::{K, K_WITH_AFFINITY};
 use crate::slow_start::TokenBucket;
 use crate::slow_start_admission::RequestFrequency;
 use crate::time::Nanos;
@@ -25,7 +25,7 @@
 }
 
 impl FailureWeight {
-    fn count(self) -> f64 {
+    fn value(self) -> f64 {
         match self {
             FailureWeight::Full => 1.0,
             FailureWeight::Minor => 0.2,
@@ -36,7 +36,7 @@
 /// A worker's probes: the timer that leads to the next, whether one is in flight, and what the last one said.
 pub(crate) struct ProbeState {
     /// Number of the timer; timers of earlier numbers are void.
-    timer_number: u32,
+    timer_generation: u32,
     is_scheduled: bool,
     is_in_flight: bool,
     /// When a job had the worker probed.
@@ -50,9 +50,9 @@
 }
 
 impl ProbeState {
-    fn new(timer_number: u32) -> Self {
+    fn new(timer_generation: u32) -> Self {
         ProbeState {
-            timer_number,
+            timer_generation,
             is_scheduled: false,
             is_in_flight: false,
             requested_at: 0,
@@ -63,13 +63,13 @@
     }
 
     /// Returns the number that the timers of the worker's next entry begin with.
-    pub(crate) fn next_timer_number(&self) -> u32 {
-        self.timer_number.wrapping_add(1)
+    pub(crate) fn next_timer_generation(&self) -> u32 {
+        self.timer_generation.wrapping_add(1)
     }
 
     /// Returns whether a timer is the one that leads to the next probe.
-    pub(crate) fn is_current(&self, timer_number: u32) -> bool {
-        self.timer_number == timer_number
+    pub(crate) fn is_current(&self, timer_generation: u32) -> bool {
+        self.timer_generation == timer_generation
     }
 
     /// Returns whether a probe is in flight.
@@ -85,14 +85,14 @@
     /// Schedules the first probe, and returns the number of its timer.
     pub(crate) fn schedule_first(&mut self) -> u32 {
         self.is_scheduled = true;
-        self.timer_number
+        self.timer_generation
     }
 
     /// Schedules a probe, and returns the number of its timer.
     pub(crate) fn schedule(&mut self) -> u32 {
         self.is_scheduled = true;
-        self.timer_number = self.timer_number.wrapping_add(1);
-        self.timer_number
+        self.timer_generation = self.timer_generation.wrapping_add(1);
+        self.timer_generation
     }
 
     /// Schedules a probe for a job; no other job has one sent before `next_request_at`.
@@ -105,7 +105,7 @@
     /// Cancels the scheduled probe.
     pub(crate) fn cancel(&mut self) {
         if self.take_scheduled() {
-            self.timer_number = self.timer_number.wrapping_add(1);
+            self.timer_generation = self.timer_generation.wrapping_add(1);
         }
     }
 
@@ -115,23 +115,23 @@
     }
 
     /// Notes that a probe was sent.
-    pub(crate) fn sent(&mut self) {
+    pub(crate) fn mark_sent(&mut self) {
         self.is_in_flight = true;
     }
 
     /// Notes that the probe in flight was given up.
-    pub(crate) fn lost(&mut self) {
+    pub(crate) fn mark_lost(&mut self) {
         self.is_in_flight = false;
     }
 
     /// Notes that a probe ended.
-    pub(crate) fn ended(&mut self, now: Nanos) {
+    pub(crate) fn mark_ended(&mut self, now: Nanos) {
         self.is_in_flight = false;
         self.last_ended_at = now;
     }
 
     /// Notes that a probe confirmed that the worker accepts work.
-    pub(crate) fn confirmed(&mut self, now: Nanos) {
+    pub(crate) fn mark_confirmed(&mut self, now: Nanos) {
         self.confirmed_at = Some(now);
     }
 
@@ -183,7 +183,7 @@
 
 impl Worker {
     /// Creates a worker of which nothing is known yet; it is not ready.
-    pub(crate) fn new(entry: WorkerEntry, bucket: TokenBucket, timer_number: u32, now: Nanos) -> Self {
+    pub(crate) fn new(entry: WorkerEntry, bucket: TokenBucket, timer_generation: u32, now: Nanos) -> Self {
         Worker {
             entry,
             is_ready: false,
@@ -191,7 +191,7 @@
             last_report: None,
             load: WorkerLoad::default(),
             health: HealthSignals::default(),
-            probe: ProbeState::new(timer_number),
+            probe: ProbeState::new(timer_generation),
             bucket,
             slow_start_requests: RequestFrequency::default(),
             is_ejected: false,
@@ -238,7 +238,7 @@
     /// ejected only failed probes count further.
     pub(crate) fn record_failure(&mut self, weight: FailureWeight) {
         if !self.is_ejected || self.probe.is_in_flight() {
-            self.failures = (self.failures + weight.count()).min(MAX_DOUBLINGS + 1.0);
+            self.failures = (self.failures + weight.value()).min(MAX_DOUBLINGS + 1.0);
         }
         self.is_ejected = true;
     }
@@ -251,7 +251,7 @@
     /// Ends the ejection: a probe confirmed that the worker accepts work.
     pub(crate) fn confirm(&mut self, now: Nanos) {
         self.is_ejected = false;
-        self.probe.confirmed(now);
+        self.probe.mark_confirmed(now);
     }
 
     /// Takes in a load report, of which `share` is this dispatcher's.
--- a/crates/dispatcher/src/worker_load.rs
+++ b/crates/dispatcher/src/worker_load.rs
@@ -39,7 +39,7 @@
 }
 
 /// What the share of a dispatcher with little traffic follows from.
-pub(crate) struct LowTrafficShare {
+pub(crate) struct LowTrafficInputs {
     /// Jobs that the dispatcher sends a worker in a report's age.
     pub(crate) jobs_per_report: f64,
     /// What jobs ask of the worker, as a share of what they ask of a usual one.
@@ -64,7 +64,7 @@
     pub(crate) fn for_low_traffic(
         dispatchers: u32,
         typical_slots: f64,
-        inputs: &LowTrafficShare,
+        inputs: &LowTrafficInputs,
     ) -> ReportShare {
         let busy = match inputs.slow_start_weight {
             Some(_) => 0.0,
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EntryChange {
     /// Neither its process nor whether it is ready.
-    None,
+    Unchanged,
     /// It is no longer ready.
     NoLongerReady,
     /// It is new, has restarted or is ready again: what was known of it is void.
@@ -29,7 +29,7 @@
     /// Workers of other zones that may be open for something.
     open_elsewhere: IndexSet,
     /// Workers that are ready, by the hash of their addresses.
-    ready: HashRing,
+    ready_ring: HashRing,
     /// Workers that are ready and failing.
     failing: IndexSet,
     mean_registered_size: f64,
@@ -45,7 +45,7 @@
             workers: Vec::new(),
             open_in_zone: IndexSet::default(),
             open_elsewhere: IndexSet::default(),
-            ready: HashRing::default(),
+            ready_ring: HashRing::default(),
             failing: IndexSet::default(),
             mean_registered_size: 1.0,
             list_is_stale: false,
@@ -70,12 +70,12 @@
 
     /// Returns the number of workers that are ready.
     pub(crate) fn ready_count(&self) -> usize {
-        self.ready.len()
+        self.ready_ring.len()
     }
 
     /// Returns the workers that are ready, by the hash of their addresses.
-    pub(crate) fn ready(&self) -> &HashRing {
-        &self.ready
+    pub(crate) fn ready_ring(&self) -> &HashRing {
+        &self.ready_ring
     }
 
     /// Returns the workers that may be open for something: those of the own zone, and then the others.
@@ -85,7 +85,7 @@
 
     /// Returns whether more than half of the ready workers fail, which must have a cause that they share.
     pub(crate) fn most_are_failing(&self) -> bool {
-        2 * self.failing.members().len() > self.ready.len()
+        2 * self.failing.members().len() > self.ready_ring.len()
     }
 
     /// Returns whether the list may lack changes that this dispatcher must already act on.
@@ -99,7 +99,7 @@
     }
 
     /// Marks all workers that are not on a complete list as gone.
-    pub(crate) fn retain_listed(&mut self, entries: &[WorkerEntry]) {
+    pub(crate) fn mark_unlisted_gone(&mut self, entries: &[WorkerEntry]) {
         let listed: BTreeSet<usize> = entries.iter().map(|entry| entry.worker.0 as usize).collect();
         for index in 0..self.workers.len() {
             if listed.contains(&index) {
@@ -114,7 +114,7 @@
 
     /// Counts the entries of a list as ready or not before any of them is taken in, so that the number of
     /// ready workers is already known then.
-    pub(crate) fn count_ready(&mut self, entries: &[WorkerEntry]) {
+    pub(crate) fn update_ready_ring(&mut self, entries: &[WorkerEntry]) {
         for entry in entries {
             let is_ready = entry.status == WorkerStatus::Ready;
             self.set_ready(entry.address_hash, entry.worker.0 as usize, is_ready);
@@ -125,9 +125,9 @@
     fn set_ready(&mut self, address_hash: u64, index: usize, is_ready: bool) {
         let position = mix(address_hash);
         if is_ready {
-            self.ready.insert(position, index);
+            self.ready_ring.insert(position, index);
         } else {
-            self.ready.remove(position, index);
+            self.ready_ring.remove(position, index);
         }
     }
 
@@ -140,10 +140,10 @@
             return EntryChange::Started;
         };
         let has_restarted = entry.started_at.is_some() && entry.started_at > worker.entry.started_at;
-        self.ready.remove(mix(worker.entry.address_hash), index);
+        self.ready_ring.remove(mix(worker.entry.address_hash), index);
         worker.entry = entry.clone();
         if !has_restarted && worker.is_ready == is_ready {
-            return EntryChange::None;
+            return EntryChange::Unchanged;
         }
         worker.is_ready = is_ready;
         if is_ready {
