--- a/crates/dispatcher/src/action.rs
+++ b/crates/dispatcher/src/action.rs
@@ -1,21 +1,22 @@
-//! What comes out of a [`Dispatcher`](crate::Dispatcher).
+//! The actions that a [`Dispatcher`](crate::Dispatcher) requests from its caller.
 
 use crate::ids::{RequestId, WorkerId};
 use crate::time::Nanos;
 
-/// What the caller is to do. Actions are carried out in their order.
+/// An action that the caller must carry out. The caller carries out actions in the order in which it receives
+/// them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt. A request's attempts are numbered 0, 1, 2 and so on in the order of these actions.
+    /// Start an attempt. The attempts of a request are numbered from 0 in the order of these actions.
     Send {
         /// The request to send.
         request: RequestId,
         /// The worker to send it to.
         worker: WorkerId,
-        /// How long (ns) the attempt may take; 0 is until the client's deadline.
+        /// Longest duration (ns) of the attempt; 0 means until the client's deadline.
         timeout: Nanos,
-        /// What of the attempt is not written by this moment must not be written any more: an attempt whose
-        /// last byte has not gone out then ends as [`Outcome::NotSent`](crate::Outcome::NotSent).
+        /// Deadline for writing the attempt. If the last byte has not been written by then, the caller stops
+        /// writing, and the attempt ends as [`Outcome::NotSent`](crate::Outcome::NotSent).
         send_by: Nanos,
     },
     /// Cancel an attempt.
@@ -25,14 +26,14 @@
         /// The attempt's number within the request.
         attempt: u32,
     },
-    /// Give the final answer that the request was rejected; a retry is harmless.
+    /// Give the final answer that the request was rejected. The client can safely retry it.
     Reject {
         /// The rejected request.
         request: RequestId,
-        /// How long (ns) the client is to wait before a retry.
+        /// Time (ns) that the client must wait before it retries.
         retry_after: Nanos,
     },
-    /// Give the final answer that the request failed; it may have run.
+    /// Give the final answer that the request failed. The request may have run.
     Fail {
         /// The failed request.
         request: RequestId,
@@ -44,7 +45,7 @@
     },
     /// Subscribe to membership changes from now on.
     Subscribe,
-    /// Hand in an [`Event::Wake`](crate::Event::Wake) at this time.
+    /// Deliver an [`Event::Wake`](crate::Event::Wake) at this time.
     Wake {
         /// The time of the event.
         at: Nanos,
--- a/crates/dispatcher/src/event.rs
+++ b/crates/dispatcher/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a [`Dispatcher`](crate::Dispatcher).
+//! The events that a caller delivers to a [`Dispatcher`](crate::Dispatcher).
 
 use std::sync::Arc;
 
@@ -7,12 +7,12 @@
 use crate::time::Nanos;
 use crate::worker_entry::WorkerEntry;
 
-/// Error rate that counts as a fault, as a share of the rate of served jobs.
+/// Error rate above which a worker counts as faulty, as a share of its rate of served jobs.
 const FAULTY_ERROR_SHARE: f64 = 0.2;
-/// Errors a second that any worker may report, however little it serves.
+/// Errors a second that a worker may report, however few jobs it serves.
 const TOLERATED_ERRORS_PER_S: f64 = 0.5;
 
-/// A worker's load as it reports it. What is missing is `None`.
+/// The load of a worker, as the worker reports it. Missing values are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Slots that no job uses.
@@ -27,44 +27,44 @@
     pub served_per_s: Option<f64>,
 }
 
-/// Returns a figure if it is finite and not negative.
-fn valid(figure: Option<f64>) -> Option<f64> {
-    figure.filter(|figure| figure.is_finite() && *figure >= 0.0)
+/// Returns a value if it is finite and not negative.
+fn non_negative(value: Option<f64>) -> Option<f64> {
+    value.filter(|value| value.is_finite() && *value >= 0.0)
 }
 
 impl LoadReport {
-    /// Returns the free slots if they are reported and possible.
+    /// Returns the free slots if they are reported and valid.
     pub(crate) fn valid_free_slots(&self) -> Option<f64> {
-        valid(self.free_slots)
+        non_negative(self.free_slots)
     }
 
-    /// Returns the queued jobs, 0 if they are not reported or impossible.
+    /// Returns the queued jobs, or 0 if they are not reported or invalid.
     pub(crate) fn valid_queued(&self) -> f64 {
-        valid(self.queued).unwrap_or(0.0)
+        non_negative(self.queued).unwrap_or(0.0)
     }
 
-    /// Returns whether so many jobs fail that the worker must be at fault. Such a worker looks idle, for it
-    /// fails fast.
+    /// Returns whether the error rate marks the worker as faulty. A faulty worker looks idle, because it
+    /// fails jobs fast.
     pub(crate) fn shows_fault(&self) -> bool {
-        let rate = |figure: Option<f64>| figure.filter(|rate| rate.is_finite()).unwrap_or(0.0);
+        let rate = |rate: Option<f64>| rate.filter(|rate| rate.is_finite()).unwrap_or(0.0);
         rate(self.errors_per_s) > FAULTY_ERROR_SHARE * rate(self.served_per_s) + TOLERATED_ERRORS_PER_S
     }
 }
 
-/// What a list of workers covers.
+/// What an update of the worker list covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the changed entries.
     Changes,
-    /// The complete list: workers that are not on it have gone.
+    /// The complete list. Workers that are not on it are gone.
     Complete,
-    /// The complete list as this dispatcher last saw it, possibly long ago.
+    /// The complete list as this dispatcher last received it, which may be long ago.
     Cached,
-    /// A request for the list failed or the subscription dropped; the old list still applies.
+    /// Nothing: the request for the list failed or the subscription ended. The previous list still applies.
     Failed,
     /// The list may lack changes that this dispatcher must already act on. Until the next `Changes` or
-    /// `Complete` (an empty one will do), new work goes only to workers that have confirmed, by the answer to
-    /// a recent probe, that they accept it.
+    /// `Complete`, which may be empty, new work goes only to workers that confirmed in a recent probe that
+    /// they accept it.
     Stale,
 }
 
@@ -75,19 +75,21 @@
     Ok,
     /// The worker answered with an error.
     Error,
-    /// The worker rejected the job without running it: its queue is full, or it is draining.
+    /// The worker rejected the job without running it, because its queue is full or it is draining.
     Rejected,
-    /// The worker rejected the job as one that no worker could run: the request is at fault, not the worker.
+    /// The worker rejected the job as one that no worker could run. The fault lies with the request, not with
+    /// the worker.
     InvalidJob,
-    /// No answer came in time.
+    /// No answer arrived in time.
     Timeout,
-    /// No connection to the worker came up.
+    /// No connection to the worker could be established.
     ConnectFailed,
-    /// The connection broke before the answer.
+    /// The connection broke before the answer arrived.
     Reset,
     /// The caller cancelled the attempt.
     Cancelled,
-    /// The attempt was never sent: the request was over or out of attempts.
+    /// The attempt was never sent, because the request was finished, had no attempts left or could no longer
+    /// be written in time.
     NotSent,
 }
 
@@ -98,54 +100,54 @@
     }
 }
 
-/// A request as it arrives.
+/// A request that arrives at the dispatcher.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The request's number.
+    /// The request's identifier.
     pub id: RequestId,
     /// Index of its class in the settings.
     pub class: u32,
     /// Index of its tenant in the settings, if it has one.
     pub tenant: Option<u32>,
-    /// Slots that the job takes at a worker.
+    /// Slots that the job uses at a worker.
     pub slots: f64,
-    /// Memory that the job takes at a worker, in the unit of [`LoadReport::free_memory`].
+    /// Memory that the job uses at a worker, in the unit of [`LoadReport::free_memory`].
     pub memory: f64,
-    /// A hash of the data that the job needs, the same at every dispatcher.
+    /// Hash of the data that the job needs. All dispatchers compute the same hash.
     pub key: Option<u64>,
     /// Time (ns) until the client gives up.
     pub time_left: Nanos,
-    /// Whether the client says that it is repeating itself.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
 }
 
-/// What happens to a dispatcher.
+/// An event that a dispatcher handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A list of workers came in, or could not be had.
+    /// A list of workers arrived, or the request for one failed.
     WorkerList {
         /// What the list covers.
         kind: ListKind,
         /// The entries.
         entries: Vec<WorkerEntry>,
     },
-    /// A request came in.
+    /// A request arrived.
     Request(Request),
-    /// A running attempt reported that it has started, or its progress.
+    /// An attempt in flight reported that it has started, or its progress.
     Progress {
         /// The attempt's request.
         request: RequestId,
         /// The attempt's number within the request.
         attempt: u32,
     },
-    /// A streamed answer has begun; the request has no deadline any more.
+    /// A streamed answer began. The request has no deadline from then on.
     Streaming {
         /// The attempt's request.
         request: RequestId,
         /// The attempt's number within the request.
         attempt: u32,
     },
-    /// An attempt ended. Exactly one follows each [`Action::Send`](crate::Action::Send).
+    /// An attempt ended. Exactly one of these events follows each [`Action::Send`](crate::Action::Send).
     AttemptEnded {
         /// The attempt's request.
         request: RequestId,
@@ -153,7 +155,7 @@
         attempt: u32,
         /// How the attempt ended.
         outcome: Outcome,
-        /// Whether the request is over.
+        /// Whether the request is finished and needs no further attempt.
         request_is_finished: bool,
         /// The load report that came with the answer.
         report: Option<LoadReport>,
@@ -167,25 +169,25 @@
         /// The load report that came with the answer.
         report: Option<LoadReport>,
     },
-    /// The client has gone; the request needs no answer.
+    /// The client disconnected. Its request needs no answer.
     ClientDisconnected {
         /// The client's request.
         request: RequestId,
     },
-    /// The dispatcher is to shut down: every request, also one that is yet to come, is answered by the
+    /// The dispatcher must shut down. Every request, including those that arrive later, is answered by the
     /// deadline.
     Shutdown {
-        /// When the last answer must have been given.
+        /// Deadline of the last answer.
         deadline: Nanos,
     },
-    /// Rules on which all dispatchers agree. They apply in full until they lapse, and in their degraded form
-    /// after that. The same rules again extend their validity.
+    /// Rules that all dispatchers agree on. They apply in full until they lapse, and in their degraded form
+    /// afterwards. The same `Arc` received again only extends their validity.
     Rules {
         /// The rules.
         rules: Arc<Rules>,
         /// When they lapse.
         valid_until: Nanos,
     },
-    /// A moment requested with [`Action::Wake`](crate::Action::Wake) has come.
+    /// A wake-up requested with [`Action::Wake`](crate::Action::Wake) is due.
     Wake,
 }
--- a/crates/dispatcher/src/hash_ring.rs
+++ b/crates/dispatcher/src/hash_ring.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// Indexes on a ring, each at a fixed position.
+/// A set of indexes on a ring, each at a fixed position.
 #[derive(Default)]
 pub struct HashRing(BTreeSet<(u64, usize)>);
 
@@ -30,10 +30,10 @@
 
     /// Ranks the entries that follow a key on the ring, at most `max_entries` of them.
     ///
-    /// Only entries for which `weight` gives a weight (above 0) take part. They are ordered by a hash of key
-    /// and position (weighted rendezvous hashing): everyone with the same entries ranks them alike, an entry
-    /// that comes or goes moves no other, and each comes first for a share of the keys that is proportional
-    /// to its weight.
+    /// Only entries for which `weight` returns a weight (above 0) take part. They are ordered by a hash of
+    /// key and position (weighted rendezvous hashing): all dispatchers with the same entries rank them alike,
+    /// adding or removing an entry does not reorder the others, and each entry comes first for a share of the
+    /// keys that is proportional to its weight.
     pub fn rank(&self, key: u64, max_entries: usize, weight: impl Fn(usize) -> Option<f64>) -> Vec<usize> {
         let start = mix(key);
         let clockwise = self.0.range((start, 0)..).chain(self.0.range(..(start, 0)));
@@ -51,32 +51,33 @@
     }
 }
 
-/// Scatters a number over all 64 bits (the finalizer of splitmix64).
+/// Hashes a number to all 64 bits (the finalizer of splitmix64).
 pub fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-/// Shuffles as many of the first ranked indexes as a required weight takes, and returns how many those are.
+/// Shuffles the shortest prefix of the ranked indexes whose weights add up to `required_weight`, but at least
+/// the first index, and returns the length of the prefix.
 ///
-/// Indexes with more weight tend to come first. `random` draws numbers from 0 to 1.
+/// Indexes with a higher weight tend to come first. `random` returns numbers from 0 to 1.
 pub fn shuffle_first(
     ranked: &mut [usize],
     weights: &[f64],
     mut required_weight: f64,
     mut random: impl FnMut() -> f64,
 ) -> usize {
-    let mut count = 0;
-    while count < ranked.len() && (count == 0 || required_weight > 0.0) {
-        required_weight -= weights[count];
-        count += 1;
+    let mut prefix_len = 0;
+    while prefix_len < ranked.len() && (prefix_len == 0 || required_weight > 0.0) {
+        required_weight -= weights[prefix_len];
+        prefix_len += 1;
     }
     let mut draw = |weight: f64| -random().max(f64::MIN_POSITIVE).ln() / weight;
-    let mut drawn: Vec<(f64, usize)> = (0..count).map(|n| (draw(weights[n]), ranked[n])).collect();
+    let mut drawn: Vec<(f64, usize)> = (0..prefix_len).map(|n| (draw(weights[n]), ranked[n])).collect();
     drawn.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
     for (slot, (_, index)) in ranked.iter_mut().zip(drawn) {
         *slot = index;
     }
-    count
+    prefix_len
 }
--- a/crates/dispatcher/src/health_signals.rs
+++ b/crates/dispatcher/src/health_signals.rs
@@ -1,34 +1,34 @@
-//! Signs of life of one worker, by which a worker that hangs is recognised.
+//! Detects that a worker hangs, by the signals that arrive about its attempts.
 
 use crate::settings::Settings;
 use crate::time::Nanos;
 
-/// A worker with unconfirmed attempts that sends nothing for this long (ns), beyond its usual progress
-/// reports, may hang.
+/// A worker with unconfirmed attempts may hang if it sends no signal for this long (ns) beyond the interval
+/// of its progress reports.
 const MAX_SILENCE: Nanos = 500_000_000;
-/// Where workers report neither start nor progress, an attempt may take this many times the usual time.
+/// Longest silence where workers report neither start nor progress, as a multiple of the mean run.
 const MAX_RUNS_WITHOUT_SIGNAL: f64 = 4.0;
 
-/// Whether news of an attempt came from its worker.
+/// Where a signal of an attempt comes from.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SignalSource {
-    /// The worker sent it: it is alive.
+    /// The worker sent it, so the worker is alive.
     Worker,
-    /// It came from elsewhere, such as a time-out, and says nothing of the worker.
+    /// It has another origin, such as a timeout, and says nothing about the worker.
     Local,
 }
 
-/// Whether news of an attempt is the first.
+/// Whether a signal is the first one of its attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SignalOrder {
-    /// It is the first, or the attempt ended without any.
+    /// It is the first one, or the attempt ended without any.
     First,
-    /// There was news of the attempt before.
+    /// An earlier signal of the attempt arrived.
     Repeated,
 }
 
 impl SignalOrder {
-    /// Returns the order of a signal by when the first one came.
+    /// Returns the order of a signal, given the time of the attempt's first signal.
     pub(crate) fn from_first_signal(first_signal_at: Option<Nanos>) -> Self {
         match first_signal_at {
             None => SignalOrder::First,
@@ -37,36 +37,37 @@
     }
 }
 
-/// Counts the attempts of which a worker has not given a sign yet, and since when it has been silent.
+/// Counts the attempts that a worker has not confirmed yet, and tracks since when it has been silent.
 #[derive(Default)]
 pub(crate) struct HealthSignals {
-    /// When the worker last gave a sign of life, or was first sent an attempt of which it has given none.
+    /// When the worker's last signal arrived, or else when its first unconfirmed attempt was sent; `None`
+    /// without unconfirmed attempts.
     silent_since: Option<Nanos>,
-    /// Attempts of which the worker has given no sign.
-    unconfirmed: u32,
+    /// Attempts of which no signal has arrived.
+    unconfirmed_attempts: u32,
 }
 
 impl HealthSignals {
-    /// Notes that an attempt was sent.
+    /// Records that an attempt was sent.
     pub(crate) fn attempt_sent(&mut self, now: Nanos) {
         self.silent_since.get_or_insert(now);
-        self.unconfirmed += 1;
+        self.unconfirmed_attempts += 1;
     }
 
-    /// Notes news of an attempt.
+    /// Records a signal of an attempt.
     pub(crate) fn signal_received(&mut self, now: Nanos, order: SignalOrder, source: SignalSource) {
         if order == SignalOrder::First {
-            self.unconfirmed = self.unconfirmed.saturating_sub(1);
+            self.unconfirmed_attempts = self.unconfirmed_attempts.saturating_sub(1);
         }
-        if self.unconfirmed == 0 {
+        if self.unconfirmed_attempts == 0 {
             self.silent_since = None;
         } else if source == SignalSource::Worker {
             self.silent_since = Some(now);
         }
     }
 
-    /// Returns how long (ns) a worker with unconfirmed attempts may be silent, where the mean run of the
-    /// slowest class takes `longest_run` (ns).
+    /// Returns how long (ns) a worker with unconfirmed attempts may be silent. `longest_run` (ns) is the mean
+    /// run of the slowest class.
     pub(crate) fn max_silence(settings: &Settings, longest_run: f64) -> Nanos {
         if settings.notifies_job_start {
             MAX_SILENCE
--- a/crates/dispatcher/src/held_requests.rs
+++ b/crates/dispatcher/src/held_requests.rs
@@ -1,25 +1,26 @@
-//! The requests that wait for a worker to open, and what the most demanding of them takes.
+//! The requests that are held until a worker opens, and the slots and memory that a worker must cover for
+//! them.
 
 use std::ops::Bound;
 
 use crate::hold_queue::HoldQueue;
 use crate::ids::RequestId;
 
-/// Weight of one more request in the memory that a usual one takes.
+/// Weight of a new request in the moving average of the memory that requests need.
 const MEMORY_WEIGHT: f64 = 0.05;
 
-/// The order in which groups of held requests are served.
+/// Rank of a held request. Requests of an earlier variant are served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum HoldRank {
-    /// Within their tenants' quotas, and they can be answered in time.
+    /// Within the tenant's quota, and an answer in time is still possible.
     InTime,
-    /// They can only be answered late.
+    /// Only a late answer is possible.
     Late,
-    /// Over their tenants' quotas.
+    /// Over the tenant's quota.
     OverQuota,
 }
 
-/// A request's position in the hold queue: by rank, and then in the order of arrival.
+/// A request's position in the hold queue, ordered by rank and then by arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct HoldPosition {
     /// The request's rank.
@@ -29,7 +30,7 @@
 }
 
 impl HoldPosition {
-    /// Returns the position behind all requests of a rank.
+    /// Returns the position after all requests of a rank.
     pub(crate) fn end_of(rank: HoldRank) -> Self {
         HoldPosition { rank, arrival_number: u64::MAX }
     }
@@ -38,12 +39,13 @@
 /// The held requests.
 pub(crate) struct HeldRequests {
     queue: HoldQueue<HoldPosition, RequestId>,
-    /// Slots that a worker must cover to count as open: those of the widest held request.
+    /// Slots that a worker must cover to count as open: the most that any held request has needed since the
+    /// queue was last empty.
     required_slots: f64,
-    /// Memory of the held request that takes the most.
+    /// The most memory that any held request has needed since the queue was last empty.
     required_memory: f64,
-    /// Memory of a usual request.
-    typical_memory: f64,
+    /// Moving average of the memory that requests need.
+    mean_memory: f64,
 }
 
 impl HeldRequests {
@@ -53,13 +55,13 @@
             queue: HoldQueue::default(),
             required_slots: 1.0,
             required_memory: 0.0,
-            typical_memory: 0.0,
+            mean_memory: 0.0,
         }
     }
 
-    /// Takes in the memory of a request that arrives.
+    /// Records the memory that an arriving request needs.
     pub(crate) fn record_memory(&mut self, memory: f64) {
-        self.typical_memory += MEMORY_WEIGHT * (memory - self.typical_memory);
+        self.mean_memory += MEMORY_WEIGHT * (memory - self.mean_memory);
     }
 
     /// Returns the slots that a worker must cover to count as open.
@@ -67,13 +69,13 @@
         self.required_slots
     }
 
-    /// Returns the memory that a worker must cover to count as open: what the most demanding held request
-    /// takes, or a usual one.
+    /// Returns the memory that a worker must cover to count as open: that of the most demanding held request,
+    /// or of an average request if that is more.
     pub(crate) fn required_memory(&self) -> f64 {
-        self.required_memory.max(self.typical_memory)
+        self.required_memory.max(self.mean_memory)
     }
 
-    /// Puts a request at a position, in place of its former one.
+    /// Puts a request at a position, and removes it from its former one.
     pub(crate) fn put(
         &mut self,
         request: RequestId,
@@ -87,7 +89,8 @@
         self.queue.insert(position, request, candidates);
     }
 
-    /// Raises what a worker must cover to count as open, and returns whether that is a change.
+    /// Raises the slots and memory that a worker must cover to count as open, and returns whether they
+    /// changed.
     pub(crate) fn raise_requirements(&mut self, slots: f64, memory: f64) -> bool {
         if slots <= self.required_slots && memory <= self.required_memory {
             return false;
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Returns the next request after a position that may go to a worker, with its own position.
+    /// Returns the first request after a position that may go to a worker, with its own position.
     pub(crate) fn next(
         &self,
         worker: usize,
--- a/crates/dispatcher/src/hold_queue.rs
+++ b/crates/dispatcher/src/hold_queue.rs
@@ -1,9 +1,9 @@
-//! A queue of what waits for workers, found by the worker that it may go to.
+//! A queue of items that wait for workers, with lookup by worker.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// Items in the order of their positions; some wait for a few workers, others for any.
+/// Items ordered by position. Each waits for certain workers, or for any worker.
 pub struct HoldQueue<P, T> {
     for_any_worker: BTreeMap<P, T>,
     by_worker: BTreeMap<usize, BTreeMap<P, T>>,
@@ -17,7 +17,8 @@
 }
 
 impl<P: Copy + Ord, T: Copy> HoldQueue<P, T> {
-    /// Adds an item that waits for some workers, or for any if there are none. Each position is used once.
+    /// Adds an item that waits for the given workers, or for any worker if none are given. No two items may
+    /// have the same position.
     pub fn insert(&mut self, position: P, item: T, workers: &[usize]) {
         self.len += 1;
         for worker in workers {
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Removes the item that was added at a position, for the same workers.
+    /// Removes the item at a position. `workers` must be the same as when the item was added.
     pub fn remove(&mut self, position: P, workers: &[usize]) {
         self.len -= 1;
         for worker in workers {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Returns the next item after a position that may go to a worker, with its own position.
+    /// Returns the first item after a position that may go to a worker, with its own position.
     pub fn next(&self, worker: usize, after: Bound<P>) -> Option<(P, T)> {
         let rest = (after, Bound::Unbounded);
         let for_worker = self.by_worker.get(&worker).and_then(|waiting| waiting.range(rest).next());
@@ -58,7 +59,7 @@
         self.len
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
--- a/crates/dispatcher/src/index_set.rs
+++ b/crates/dispatcher/src/index_set.rs
@@ -1,6 +1,6 @@
-//! A set of small indexes that also supports a random pick.
+//! A set of small indexes that supports random picks.
 
-/// A set of small indexes with access by position: insertion, removal and access take constant time.
+/// A set of small indexes with access by position. Insertion, removal and access take constant time.
 #[derive(Default)]
 pub struct IndexSet {
     members: Vec<usize>,
@@ -9,7 +9,7 @@
 }
 
 impl IndexSet {
-    /// Adds an index; an index that is already a member keeps its position.
+    /// Adds an index. An index that is already a member keeps its position.
     pub fn insert(&mut self, index: usize) {
         if self.positions.len() <= index {
             self.positions.resize(index + 1, None);
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Removes an index; the last member takes over its position.
+    /// Removes an index. The last member takes over its position.
     pub fn remove(&mut self, index: usize) {
         let Some(position) = self.positions.get_mut(index).and_then(Option::take) else { return };
         self.members.swap_remove(position);
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Returns the members, in an order that follows from the order of changes alone.
+    /// Returns the members, in an order that depends only on the sequence of changes.
     pub fn members(&self) -> &[usize] {
         &self.members
     }
