--- a/crates/dispatcher/src/job.rs
+++ b/crates/dispatcher/src/job.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher knows of one request and its attempts.
+//! The state of one request and its attempts.
 
 use crate::event::{LoadReport, Outcome, Request};
 use crate::held_requests::HoldPosition;
@@ -12,15 +12,16 @@
     pub(crate) worker: usize,
     /// The worker's entry on the list at the time of the attempt.
     pub(crate) entry: WorkerEntry,
-    /// When the attempt was decided on.
+    /// When the dispatcher issued the [`Action::Send`](crate::Action::Send) of the attempt.
     pub(crate) sent_at: Nanos,
-    /// Whether its outcome is still to come.
+    /// Whether its outcome is still unknown.
     pub(crate) is_in_flight: bool,
-    /// Whether it may have run; false once it is known not to have.
+    /// Whether it may have run; false once its outcome proves that it did not.
     pub(crate) may_have_run: bool,
-    /// When the first sign of it came.
+    /// When its first signal arrived.
     pub(crate) first_signal_at: Option<Nanos>,
-    /// Since when it counts as a job at its worker.
+    /// Since when [`ServiceRates`](crate::service_rate::ServiceRates) counts it as a job at its worker;
+    /// `None` if it is not counted.
     pub(crate) counted_since: Option<Nanos>,
 }
 
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Returns whether the attempt is in flight and no sign of it has come.
+    /// Returns whether the attempt is in flight and no signal of it has arrived.
     pub(crate) fn is_unconfirmed(&self) -> bool {
         self.is_in_flight && self.first_signal_at.is_none()
     }
@@ -49,23 +50,24 @@
 pub(crate) struct AttemptOutcome {
     /// The outcome itself.
     pub(crate) outcome: Outcome,
-    /// Whether the request is over.
+    /// Whether the request is finished and needs no further attempt.
     pub(crate) request_is_finished: bool,
     /// The load report that came with the answer.
     pub(crate) report: Option<LoadReport>,
 }
 
-/// The draw of a dispatcher with little traffic whether a job may go to a warming worker.
+/// The result of a random draw, made where traffic is low, that decides whether a job may go to a warming
+/// worker.
 pub(crate) struct SlowStartDraw {
     /// Index of the worker.
     pub(crate) worker: usize,
-    /// When it was drawn.
+    /// When the draw was made.
     pub(crate) drawn_at: Nanos,
-    /// Whether the job may go there.
+    /// Whether the job may go to the worker.
     pub(crate) is_admitted: bool,
 }
 
-/// A request that is open, or of which attempts are still in flight.
+/// A request that is not finished, or that still has attempts in flight.
 pub(crate) struct Job {
     /// The request.
     pub(crate) request: Request,
@@ -73,28 +75,28 @@
     pub(crate) arrival_number: u64,
     /// When it must have its final answer.
     pub(crate) deadline: Nanos,
-    /// Until when it may be held as one that can still be answered in time.
+    /// Until when it may be held for an answer in time.
     pub(crate) hold_until: Nanos,
     /// Whether it is within its tenant's quota.
     pub(crate) quota_use: QuotaUse,
     /// Its position in the hold queue, while it is held.
     pub(crate) hold_position: Option<HoldPosition>,
-    /// Indexes of the workers that it may go to, in the order of preference; none if it may go to any.
+    /// Indexes of the workers that it may go to, in the order of preference; empty if it may go to any.
     pub(crate) candidates: Vec<usize>,
-    /// The warming workers among them that were drawn for.
+    /// Draws for the warming workers among its candidates.
     pub(crate) slow_start_draws: Vec<SlowStartDraw>,
-    /// Number of the search for a candidate to probe; timers of earlier searches are void.
+    /// Generation of the search for a candidate to probe; timers of earlier generations are ignored.
     pub(crate) candidate_search: u32,
-    /// Its attempts, by their number.
+    /// Its attempts, in the order of their numbers.
     pub(crate) attempts: Vec<Attempt>,
-    /// Whether it needs no answer any more.
+    /// Whether it needs no further answer.
     pub(crate) is_finished: bool,
     /// Whether a streamed answer has begun.
     pub(crate) is_streaming: bool,
 }
 
 impl Job {
-    /// Returns when the first attempt that may have run was decided on.
+    /// Returns when the first attempt that may have run was sent.
     pub(crate) fn first_possible_run(&self) -> Option<Nanos> {
         self.attempts.iter().find(|attempt| attempt.may_have_run).map(|attempt| attempt.sent_at)
     }
@@ -114,7 +116,8 @@
         self.quota_use == QuotaUse::OverQuota
     }
 
-    /// Returns whether no job of the hold queue takes less than this one.
+    /// Returns whether the job has the least demand: a worker that cannot take it is assumed to be unable to
+    /// take any other held job.
     pub(crate) fn has_least_demand(&self) -> bool {
         self.attempts.is_empty() && self.request.slots <= 1.0 && self.request.memory == 0.0
     }
--- a/crates/dispatcher/src/rules.rs
+++ b/crates/dispatcher/src/rules.rs
@@ -1,21 +1,22 @@
-//! Rules on which all dispatchers agree.
+//! Rules that all dispatchers agree on.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::time::Nanos;
 
-/// Rules on which all dispatchers agree. They name workers by
+/// Rules that all dispatchers agree on. They identify workers by
 /// [`address_hash`](crate::WorkerEntry::address_hash) and tenants by their index in the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Into how many even shares the tenants' rates, and what a warming worker may be sent, are divided. It
-    /// takes the place of the settings' `dispatchers`.
+    /// Number of even shares into which the tenants' rates and the budget of a warming worker are divided. It
+    /// replaces `dispatchers` of the settings.
     pub quota_shares: u32,
-    /// Attempts that a request may have at most, beside the limit in the settings.
+    /// Maximum number of attempts of a request, in addition to the limit in the settings.
     pub max_attempts: u32,
     /// Bounds of a Retry-After.
     pub retry_after: RetryAfterBounds,
-    /// Requests a second that all dispatchers together accept from a tenant.
+    /// Requests a second that all dispatchers together accept from each tenant. A tenant without an entry has
+    /// no limit.
     pub tenant_rates_per_s: BTreeMap<u32, f64>,
     /// Workers that are not open to all tenants.
     pub worker_restrictions: BTreeMap<u64, WorkerRestriction>,
@@ -28,41 +29,41 @@
 /// Bounds of a Retry-After.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAfterBounds {
-    /// The shortest (ns).
+    /// Shortest Retry-After (ns).
     pub shortest: Nanos,
-    /// The longest (ns).
+    /// Longest Retry-After (ns).
     pub longest: Nanos,
 }
 
-/// What a dispatcher may do while it cannot know whether its rules still apply.
+/// What a dispatcher may do after its rules have lapsed, while it does not know whether they still apply.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DegradedRules {
-    /// The part of its share of each tenant's rate that the dispatcher still accepts, from 0 to 1.
+    /// The part of the dispatcher's share of each tenant's rate that it still accepts, from 0 to 1.
     pub quota_share: f64,
     /// Workers that may be sent new work.
     pub allowed_workers: BTreeSet<u64>,
-    /// Whether workers without a restriction may be sent new work too.
+    /// Whether workers without a restriction may be sent new work as well.
     pub allows_unlisted_workers: bool,
     /// Whether tenants without a rate are accepted.
     pub allows_unlimited_tenants: bool,
 }
 
-/// Whose new work a worker may be sent.
+/// Restricts which new work a worker may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerRestriction {
-    /// Nobody's.
+    /// No new work.
     Cordoned,
-    /// Nobody's, and attempts that have not started are cancelled.
+    /// No new work, and attempts that have not started are cancelled.
     Drained,
-    /// Nobody's, attempts that have not started are cancelled, and the worker is not probed.
+    /// No new work, attempts that have not started are cancelled, and the worker is not probed.
     Excluded,
-    /// Only this tenant's.
+    /// Only new work of this tenant.
     ReservedFor(u32),
 }
 
 impl Rules {
-    /// Returns the rules of a dispatcher that knows that there are rules and has never had any: it has no
-    /// share of anything.
+    /// Returns the rules of a dispatcher that expects rules and has not received any yet: it has no share of
+    /// any quota.
     pub fn initial(max_attempts: u32, retry_after: RetryAfterBounds) -> Rules {
         let degraded = DegradedRules {
             quota_share: 0.0,
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -1,23 +1,24 @@
-//! What a dispatcher is configured with at its start.
+//! The settings of a dispatcher.
 
 use crate::time::Nanos;
 use crate::worker_entry::WorkerEntry;
 
-/// The part (1/n) of a deduplication window that is set aside at most for the way of a repeat to its worker.
+/// At most one part in this many of a deduplication window is reserved for the transit of a repeat to its
+/// worker.
 const MAX_TRANSIT_DIVISOR: Nanos = 4;
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated and rejected at will.
+    /// It may be repeated and rejected freely.
     Idempotent,
-    /// The workers of one group drop its repeats, for the class's deduplication window.
+    /// The workers of one scope drop its repeats during the class's deduplication window.
     IdempotentWithKey(DeduplicationScope),
-    /// It must never run twice.
+    /// It must not run more than once.
     NonIdempotent,
 }
 
-/// Which workers drop each other's repeats of a keyed request.
+/// The workers that drop repeats of a request with a key that another of them was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All workers.
@@ -33,26 +34,26 @@
 pub struct Class {
     /// Whether the requests may run more than once.
     pub idempotency: Idempotency,
-    /// How long (ns) keyed repeats are dropped, from the sending of the first attempt that may have run.
+    /// How long (ns) repeats with the same key are dropped, from the sending of the first attempt that may
+    /// have run.
     pub deduplication_window: Nanos,
-    /// Time (ns) that an answer in time may take, beside `latency_stretch` times the work of the request
-    /// itself.
+    /// An answer is in time within this latency (ns) plus `latency_stretch` times the work of the request.
     pub latency_objective: Nanos,
-    /// Times the work of the request itself that an answer in time may take, beside `latency_objective`.
+    /// Multiple of the work of the request that is added to `latency_objective`.
     pub latency_stretch: f64,
     /// How long (ns) a client waits in total, over all its retries.
     pub deadline: Nanos,
-    /// The value of an answer in time, relative to that of requests of other classes.
+    /// Value of an answer in time, relative to that of requests of other classes.
     pub priority_weight: f64,
-    /// Share of `priority_weight` that an answer after the objective still counts, from 0 to 1.
+    /// Share of `priority_weight` that an answer after the objective is still worth, from 0 to 1.
     pub late_weight_share: f64,
-    /// The only kind of worker that runs this class, if it needs one.
+    /// The only kind of worker that can run this class, or `None` if all kinds can.
     pub required_kind: Option<u32>,
 }
 
 impl Class {
-    /// Returns whether `worker` drops the repeat of what `first` was sent and may have run, within the
-    /// window.
+    /// Returns whether `worker` drops a repeat of a request that `first` was sent and may have run, within
+    /// the deduplication window. Classes without a key have no scope, and the result is always true for them.
     pub fn deduplicates(&self, first: &WorkerEntry, worker: &WorkerEntry) -> bool {
         match self.idempotency {
             Idempotency::Idempotent
@@ -63,18 +64,18 @@
         }
     }
 
-    /// Returns until when further attempts of a request may be written, if the first attempt that may have
-    /// run was sent at `first`.
+    /// Returns the deadline for writing further attempts of a request whose first attempt that may have run
+    /// was sent at `first_sent_at`.
     ///
-    /// Repeats are dropped by when their last bytes arrive, so the end of the window is kept for their way to
-    /// the worker. The settings name no time for that but the one in which a connection (the same way, there
-    /// and back) comes up.
-    pub fn resend_deadline(&self, first: Nanos, connect_timeout: Nanos) -> Nanos {
+    /// Workers drop repeats by the time at which the last byte arrives, so the end of the window is reserved
+    /// for the transit to the worker. The only time for that in the settings is the connect timeout, which
+    /// covers the same path in both directions.
+    pub fn resend_deadline(&self, first_sent_at: Nanos, connect_timeout: Nanos) -> Nanos {
         match self.idempotency {
             Idempotency::Idempotent | Idempotency::NonIdempotent => Nanos::MAX,
             Idempotency::IdempotentWithKey(_) => {
                 let transit = connect_timeout.min(self.deduplication_window / MAX_TRANSIT_DIVISOR);
-                first.saturating_add(self.deduplication_window - transit)
+                first_sent_at.saturating_add(self.deduplication_window - transit)
             }
         }
     }
@@ -87,73 +88,73 @@
     pub quota_per_s: f64,
 }
 
-/// What the service promises about its workers and its list of them.
+/// What the service guarantees about its workers and its worker list.
 #[derive(Clone, Debug)]
 pub struct ServiceLimits {
     /// Share of its capacity that a worker has right after a start, from 0 to 1.
     pub slow_start_initial_share: f64,
-    /// How long (ns) after a start a worker has all its capacity.
+    /// Time (ns) from a start until a worker has its full capacity.
     pub slow_start_duration: Nanos,
-    /// Multiple of its present capacity that overloads a warming worker, if it is sent more than that for
+    /// Multiple of its current capacity that overloads a warming worker if the load exceeds it for
     /// `overload_duration`.
     pub overload_multiple: f64,
     /// How long (ns) an overload lasts before a warming worker fails.
     pub overload_duration: Nanos,
-    /// How long (ns) a list of workers is valid without a subscription.
+    /// How long (ns) a worker list is valid without a subscription.
     pub unsubscribed_list_validity: Nanos,
 }
 
 /// The settings of a dispatcher.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Dispatchers that share the workers, this one included.
+    /// Number of dispatchers that share the workers, including this one.
     pub dispatchers: u32,
-    /// This dispatcher's own zone.
+    /// The zone of this dispatcher.
     pub zone: u32,
     /// The classes of requests.
     pub classes: Vec<Class>,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// What the service promises.
+    /// What the service guarantees.
     pub limits: ServiceLimits,
-    /// Whether membership changes come only to those who subscribe.
+    /// Whether membership changes are sent to subscribers only.
     pub requires_subscription: bool,
     /// Whether workers can be probed for their load.
     pub can_probe: bool,
-    /// Whether the list carries the workers' registered sizes, which do not change.
+    /// Whether the worker list carries the workers' registered sizes, which do not change.
     pub reports_registered_size: bool,
     /// Whether load reports carry free slots.
     pub reports_free_slots: bool,
     /// Whether workers notify the start of a job.
     pub notifies_job_start: bool,
-    /// Time (ns) between progress reports of a running job; 0 where there are none.
+    /// Time (ns) between progress reports of a running job, or 0 if there are none.
     pub progress_interval: Nanos,
     /// Whether attempts can be cancelled.
     pub can_cancel: bool,
-    /// Whether two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time (hedged requests).
     pub allows_hedging: bool,
-    /// Attempts that a request may have at most.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Longest Retry-After (ns) that clients follow.
+    /// Longest Retry-After (ns) that clients honour.
     pub max_retry_after: Nanos,
-    /// A connection to a worker that is not up after so long (ns) has failed.
+    /// Time (ns) after which an attempt to connect to a worker has failed.
     pub connect_timeout: Nanos,
-    /// Shortest time (ns) between two events of different times.
+    /// Shortest time (ns) between two events at different times.
     pub clock_resolution: Nanos,
 }
 
 impl Settings {
-    /// Checks whether decisions can be made by these settings.
+    /// Checks the settings for missing and invalid values.
     ///
     /// # Errors
     ///
-    /// Returns the first setting that is missing or impossible.
+    /// Returns an error for the first setting that is missing or invalid.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let possible = |figure: f64| figure.is_finite() && figure >= 0.0;
-        let class_possible = |class: &Class| {
-            possible(class.latency_stretch)
-                && possible(class.priority_weight)
-                && possible(class.late_weight_share)
+        let is_valid = |value: f64| value.is_finite() && value >= 0.0;
+        let class_is_valid = |class: &Class| {
+            is_valid(class.latency_stretch)
+                && is_valid(class.priority_weight)
+                && is_valid(class.late_weight_share)
         };
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -164,32 +165,32 @@
         if self.max_attempts == 0 {
             return Err(SettingsError::NoAttempts);
         }
-        if !self.classes.iter().all(class_possible) {
-            return Err(SettingsError::InvalidValue("class figure"));
+        if !self.classes.iter().all(class_is_valid) {
+            return Err(SettingsError::InvalidValue("class value"));
         }
-        if !self.tenants.iter().all(|tenant| possible(tenant.quota_per_s)) {
-            return Err(SettingsError::InvalidValue("quota"));
+        if !self.tenants.iter().all(|tenant| is_valid(tenant.quota_per_s)) {
+            return Err(SettingsError::InvalidValue("tenant quota"));
         }
-        if !possible(self.limits.slow_start_initial_share) || !possible(self.limits.overload_multiple) {
-            return Err(SettingsError::InvalidValue("cold start figure"));
+        if !is_valid(self.limits.slow_start_initial_share) || !is_valid(self.limits.overload_multiple) {
+            return Err(SettingsError::InvalidValue("slow start limit"));
         }
         Ok(())
     }
 }
 
-/// Settings by which no decisions can be made.
+/// The reason why settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// There are no request classes.
-    #[error("settings name no request classes")]
+    /// The settings have no request classes.
+    #[error("the settings have no request classes")]
     NoClasses,
     /// The number of dispatchers is 0.
-    #[error("settings say that there are no dispatchers")]
+    #[error("the number of dispatchers in the settings is 0")]
     NoDispatchers,
-    /// The number of attempts is 0.
-    #[error("settings allow no attempts")]
+    /// The maximum number of attempts is 0.
+    #[error("the maximum number of attempts in the settings is 0")]
     NoAttempts,
-    /// A figure that must be finite and not negative is neither; the text names it.
-    #[error("settings have an impossible {0}")]
+    /// A value is negative or not finite. The text names the value.
+    #[error("a {0} in the settings is negative or not finite")]
     InvalidValue(&'static str),
 }
