--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -65,10 +65,10 @@
         let useful_until = job.hold_until.max(self.now + class.latency_objective);
         if class.idempotency != Idempotency::NonIdempotent {
             let silent_at = self.now + self.max_silence() + 1;
-            self.timers.start(silent_at, Timer::Hedge(attempt));
+            self.timers.start(silent_at, Timer::SignalTimeout(attempt));
         }
         if self.settings.notifies_job_start {
-            self.timers.start(useful_until, Timer::Hedge(attempt));
+            self.timers.start(useful_until, Timer::SignalTimeout(attempt));
         }
     }
 
--- a/crates/dispatcher/src/dispatcher/mod.rs
+++ b/crates/dispatcher/src/dispatcher/mod.rs
@@ -157,7 +157,7 @@
         match timer {
             Timer::Deadline(request) => self.answer(request, actions),
             Timer::HoldTimeout(request) => self.end_hold(request, actions),
-            Timer::Hedge(attempt) => self.cancel_unconfirmed(attempt, actions),
+            Timer::SignalTimeout(attempt) => self.cancel_unconfirmed(attempt, actions),
             Timer::Probe { worker, generation } => self.run_probe_timer(worker, generation, actions),
             Timer::ProbeNextCandidate { request, search } => {
                 self.probe_next_candidate(request, search, actions);
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,10 +1,10 @@
 //! Dispatch decisions: which worker a request is sent to, and when it is retried, hedged or rejected.
 //!
-//! A dispatcher sits beside a submitter and pushes jobs to workers.
+//! A dispatcher runs next to the submitter of jobs and pushes the jobs to workers.
 //!
-//! The library does no I/O, keeps no clock and shares nothing: the caller hands events with their time to
-//! [`Dispatcher::handle`] and carries out the actions that come back. The same events and seed always give
-//! the same actions.
+//! The library does no I/O, reads no clock and shares no state: the caller passes events with their time to
+//! [`Dispatcher::handle`] and carries out the actions that it returns. The same events and seed always
+//! produce the same actions.
 //!
 //! ```
 //! use nickelflow_dispatcher::{
@@ -62,7 +62,7 @@
 //! };
 //! dispatcher.handle(0, Event::WorkerList { kind: ListKind::Complete, entries: vec![entry] }, &mut actions);
 //!
-//! // A new worker is closed; it is probed after a short random delay, and opens with what it reports.
+//! // A new worker is closed. It is probed after a short random delay, and its report opens it.
 //! let Some(Action::Wake { at }) = actions.pop() else { panic!("no wake") };
 //! dispatcher.handle(at, Event::Wake, &mut actions);
 //! assert!(actions.contains(&Action::Probe { worker }));
--- a/crates/dispatcher/src/time.rs
+++ b/crates/dispatcher/src/time.rs
@@ -1,8 +1,8 @@
-//! Time as this crate counts it: unsigned nanoseconds of the caller's clock.
+//! Time in unsigned nanoseconds of the caller's clock.
 
-/// A moment of the caller's clock, or a length of time, in nanoseconds.
+/// A point in time on the caller's clock, or a duration, in nanoseconds.
 ///
-/// The clock may start anywhere and never runs backwards.
+/// The clock may start at any value and never runs backwards.
 pub type Nanos = u64;
 
 /// Nanoseconds in a millisecond.
--- a/crates/dispatcher/src/timers.rs
+++ b/crates/dispatcher/src/timers.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's timers, and the one wake-up that the caller is asked for at a time.
+//! The dispatcher's timers, and the wake-up that is requested from the caller for the earliest one.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,29 +6,30 @@
 use crate::ids::{AttemptId, RequestId};
 use crate::time::Nanos;
 
-/// What a timer stands for. Timers of the same time fire in the order of the variants.
+/// What happens when a timer expires. Timers of the same time fire in the order of the variants.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// The request must be answered now.
     Deadline(RequestId),
-    /// The request may no longer be held as one that can be answered in time.
+    /// The request may no longer be held for an answer in time.
     HoldTimeout(RequestId),
-    /// The attempt has given no sign of life: another may be started in its place.
-    Hedge(AttemptId),
-    /// The worker is to be probed, or its probe has been lost; a timer of an earlier number is void.
+    /// No signal of the attempt has arrived in time: the attempt may be cancelled, and another one takes its
+    /// place.
+    SignalTimeout(AttemptId),
+    /// The worker must be probed, or its probe has timed out; timers of earlier generations are ignored.
     Probe { worker: usize, generation: u32 },
     /// A warming worker's token bucket may hold enough for another job.
     DrainHoldQueue { worker: usize },
-    /// The held request's next candidate is to be probed; a search of an earlier number is void.
+    /// The next candidate of the held request must be probed; timers of earlier searches are ignored.
     ProbeNextCandidate { request: RequestId, search: u32 },
-    /// Membership changes are to be subscribed to again.
+    /// Membership changes must be subscribed to again.
     Subscribe,
 }
 
-/// Timers, earliest first, with the one wake-up that has been requested for them.
+/// Timers ordered by time, with the wake-up that has been requested for them.
 pub struct TimerQueue<T> {
     timers: BinaryHeap<Reverse<(Nanos, T)>>,
-    /// When the requested wake-up comes; `Nanos::MAX` if none has been requested.
+    /// Time of the requested wake-up; `Nanos::MAX` if none is pending.
     requested_wake: Nanos,
 }
 
@@ -39,14 +40,14 @@
 }
 
 impl<T: Ord> TimerQueue<T> {
-    /// Starts a timer; one at `Nanos::MAX` never fires.
+    /// Starts a timer. A timer at `Nanos::MAX` never fires.
     pub fn start(&mut self, at: Nanos, timer: T) {
         if at < Nanos::MAX {
             self.timers.push(Reverse((at, timer)));
         }
     }
 
-    /// Removes and returns the earliest timer that has expired by now.
+    /// Removes the earliest timer if it has expired, and returns it.
     pub fn pop_expired(&mut self, now: Nanos) -> Option<T> {
         if self.timers.peek().is_none_or(|Reverse((at, _))| *at > now) {
             return None;
@@ -54,14 +55,15 @@
         self.timers.pop().map(|Reverse((_, timer))| timer)
     }
 
-    /// Notes that a wake-up has come; one that was not requested changes nothing.
+    /// Records that a wake-up arrived. A wake-up before the requested time changes nothing.
     pub fn record_wake(&mut self, now: Nanos) {
         if self.requested_wake <= now {
             self.requested_wake = Nanos::MAX;
         }
     }
 
-    /// Returns the moment of the next wake-up if it must be requested: none as early has been.
+    /// Returns the time of the next wake-up if it must be requested, because no wake-up that early is
+    /// pending.
     pub fn request_wake(&mut self, now: Nanos) -> Option<Nanos> {
         self.record_wake(now);
         let Reverse((at, _)) = self.timers.peek()?;
--- a/crates/dispatcher/src/worker.rs
+++ b/crates/dispatcher/src/worker.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher knows of one worker.
+//! The state of one worker, as the dispatcher knows it.
 
 use crate::event::LoadReport;
 use crate::health_signals::HealthSignals;
@@ -9,18 +9,18 @@
 use crate::worker_entry::WorkerEntry;
 use crate::worker_load::{ReportShare, WorkerLoad};
 
-/// Failures double the wait for the next probe, up to this many times.
+/// Largest number of times that failures double the delay of the next probe.
 pub(crate) const MAX_DOUBLINGS: f64 = 6.0;
-/// A success takes this share off a worker's count of failures.
+/// Share of a worker's failure count that a success removes.
 const SUCCESS_DECAY: f64 = 0.2;
 
-/// How much a failure counts.
+/// The weight of a failure in a worker's failure count.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FailureWeight {
     /// The worker is at fault.
     Full,
-    /// Something that also happens to healthy workers, one attempt at a time: a rejection or a broken
-    /// connection. Its next probe shows whether the worker is at fault.
+    /// A rejection or a broken connection, which also happens to healthy workers, one attempt at a time. The
+    /// next probe shows whether the worker is at fault.
     Minor,
 }
 
@@ -33,17 +33,18 @@
     }
 }
 
-/// A worker's probes: the timer that leads to the next, whether one is in flight, and what the last one said.
+/// The state of a worker's probes: the timer of the next one, whether one is in flight, and the result of the
+/// last one.
 pub(crate) struct ProbeState {
-    /// Number of the timer; timers of earlier numbers are void.
+    /// Generation of the probe timer; timers of earlier generations are ignored.
     timer_generation: u32,
     is_scheduled: bool,
     is_in_flight: bool,
-    /// When a job had the worker probed.
+    /// When a job last requested a probe.
     requested_at: Nanos,
-    /// When a job may have the worker probed again.
+    /// From when on a job may request another probe.
     next_request_at: Nanos,
-    /// When a probe last ended.
+    /// When the last probe ended.
     last_ended_at: Nanos,
     /// When a probe last confirmed that the worker accepts work.
     confirmed_at: Option<Nanos>,
@@ -62,12 +63,12 @@
         }
     }
 
-    /// Returns the number that the timers of the worker's next entry begin with.
+    /// Returns the first timer generation of the state that replaces this one after a restart.
     pub(crate) fn next_timer_generation(&self) -> u32 {
         self.timer_generation.wrapping_add(1)
     }
 
-    /// Returns whether a timer is the one that leads to the next probe.
+    /// Returns whether a timer belongs to the current generation.
     pub(crate) fn is_current(&self, timer_generation: u32) -> bool {
         self.timer_generation == timer_generation
     }
@@ -77,25 +78,26 @@
         self.is_in_flight
     }
 
-    /// Returns whether neither a probe is in flight nor a timer leads to one.
+    /// Returns whether no probe is scheduled or in flight.
     pub(crate) fn is_idle(&self) -> bool {
         !self.is_scheduled && !self.is_in_flight
     }
 
-    /// Schedules the first probe, and returns the number of its timer.
+    /// Schedules the first probe, and returns the generation of its timer.
     pub(crate) fn schedule_first(&mut self) -> u32 {
         self.is_scheduled = true;
         self.timer_generation
     }
 
-    /// Schedules a probe, and returns the number of its timer.
+    /// Schedules a probe, and returns the generation of its timer.
     pub(crate) fn schedule(&mut self) -> u32 {
         self.is_scheduled = true;
         self.timer_generation = self.timer_generation.wrapping_add(1);
         self.timer_generation
     }
 
-    /// Schedules a probe for a job; no other job has one sent before `next_request_at`.
+    /// Schedules a probe that a job requests, and returns the generation of its timer. Other jobs may not
+    /// request a probe before `next_request_at`.
     pub(crate) fn schedule_for_job(&mut self, now: Nanos, next_request_at: Nanos) -> u32 {
         self.requested_at = now;
         self.next_request_at = next_request_at;
@@ -109,33 +111,33 @@
         }
     }
 
-    /// Removes the schedule of a probe whose time has come, and returns whether there was one.
+    /// Clears the schedule of a probe that is due, and returns whether a probe was scheduled.
     pub(crate) fn take_scheduled(&mut self) -> bool {
         std::mem::take(&mut self.is_scheduled)
     }
 
-    /// Notes that a probe was sent.
+    /// Records that a probe was sent.
     pub(crate) fn mark_sent(&mut self) {
         self.is_in_flight = true;
     }
 
-    /// Notes that the probe in flight was given up.
+    /// Records that the probe in flight timed out.
     pub(crate) fn mark_lost(&mut self) {
         self.is_in_flight = false;
     }
 
-    /// Notes that a probe ended.
+    /// Records that a probe ended.
     pub(crate) fn mark_ended(&mut self, now: Nanos) {
         self.is_in_flight = false;
         self.last_ended_at = now;
     }
 
-    /// Notes that a probe confirmed that the worker accepts work.
+    /// Records that a probe confirmed that the worker accepts work.
     pub(crate) fn mark_confirmed(&mut self, now: Nanos) {
         self.confirmed_at = Some(now);
     }
 
-    /// Returns whether the last probe ended longer ago than `max_age` (ns).
+    /// Returns whether the last probe ended more than `max_age` (ns) ago.
     pub(crate) fn is_older_than(&self, max_age: Nanos, now: Nanos) -> bool {
         now > self.last_ended_at + max_age
     }
@@ -145,8 +147,8 @@
         self.confirmed_at.is_some_and(|at| now <= at + max_age)
     }
 
-    /// Returns whether a job may have the worker probed, or has and may still wait for the answer, which it
-    /// does for `max_wait` (ns).
+    /// Returns whether a probe may still provide a report for a job: either a probe is in flight and was
+    /// requested less than `max_wait` (ns) ago, or the job may request one now.
     pub(crate) fn may_answer_job(&self, max_wait: Nanos, now: Nanos) -> bool {
         if self.is_in_flight {
             now < self.requested_at + max_wait
@@ -162,19 +164,19 @@
     pub(crate) entry: WorkerEntry,
     /// Whether it is on the list and not draining.
     pub(crate) is_ready: bool,
-    /// When the worker was first listed, or restarted: what was sent before is void.
+    /// When the worker was first listed, or restarted; attempts that were sent earlier are ignored.
     pub(crate) valid_since: Nanos,
     /// The last load report.
     pub(crate) last_report: Option<LoadReport>,
-    /// The worker's load, own sends included.
+    /// The worker's load, including this dispatcher's own sends.
     pub(crate) load: WorkerLoad,
-    /// The worker's signs of life.
+    /// The signals of the worker about its attempts.
     pub(crate) health: HealthSignals,
     /// The worker's probes.
     pub(crate) probe: ProbeState,
     /// What this dispatcher may send the worker while it is warming up.
     pub(crate) bucket: TokenBucket,
-    /// How often jobs asked for the worker while it was warming up.
+    /// How often jobs requested the worker while it was warming up.
     pub(crate) slow_start_requests: RequestFrequency,
     /// Whether a failure keeps the worker closed until its next probe.
     is_ejected: bool,
@@ -182,7 +184,7 @@
 }
 
 impl Worker {
-    /// Creates a worker of which nothing is known yet; it is not ready.
+    /// Creates a worker without measurements, which is not ready.
     pub(crate) fn new(entry: WorkerEntry, bucket: TokenBucket, timer_generation: u32, now: Nanos) -> Self {
         Worker {
             entry,
@@ -214,7 +216,8 @@
         self.failures > 1.0
     }
 
-    /// Returns by how much its failures lengthen the wait for the next probe, by doublings up to a number.
+    /// Returns the factor by which failures lengthen the delay of the next probe: one doubling for each
+    /// counted failure, up to `max_doublings`.
     pub(crate) fn backoff_factor(&self, max_doublings: f64) -> f64 {
         self.failures.min(max_doublings).exp2()
     }
@@ -225,17 +228,18 @@
         self.is_ready && !self.is_ejected && free.is_some_and(|free| free + K_WITH_AFFINITY > 0.0)
     }
 
-    /// Returns whether the worker is closed to a job that takes so many slots and so much memory.
+    /// Returns whether the worker is closed to a job that uses the given slots and memory.
     pub(crate) fn is_closed_to(&self, slots: f64, memory: f64) -> bool {
-        // One without memory takes next to nothing: left open for its slots, it would never be probed again.
+        // A worker without free memory accepts hardly any jobs. If its free slots kept it open, it would
+        // never be probed again.
         let lacks_memory =
             self.load.free_memory().is_some_and(|free| free < memory.min(self.load.max_free_memory()));
         let needed = slots.min(self.load.known_slots().max(1.0));
         self.is_ejected || lacks_memory || self.load.free_slots().is_none_or(|free| free + K < needed)
     }
 
-    /// Ejects the worker for a failure. Attempts that fail together fail for one cause: while the worker is
-    /// ejected only failed probes count further.
+    /// Ejects the worker because of a failure. Attempts that fail together have one cause, so while the
+    /// worker is ejected, only failed probes add to the failure count.
     pub(crate) fn record_failure(&mut self, weight: FailureWeight) {
         if !self.is_ejected || self.probe.is_in_flight() {
             self.failures = (self.failures + weight.value()).min(MAX_DOUBLINGS + 1.0);
@@ -243,18 +247,18 @@
         self.is_ejected = true;
     }
 
-    /// Takes a success off the count of failures.
+    /// Reduces the failure count because of a success.
     pub(crate) fn record_success(&mut self) {
         self.failures *= 1.0 - SUCCESS_DECAY;
     }
 
-    /// Ends the ejection: a probe confirmed that the worker accepts work.
+    /// Ends the ejection because a probe confirmed that the worker accepts work.
     pub(crate) fn confirm(&mut self, now: Nanos) {
         self.is_ejected = false;
         self.probe.mark_confirmed(now);
     }
 
-    /// Takes in a load report, of which `share` is this dispatcher's.
+    /// Applies this dispatcher's share of a load report, and ejects the worker if the report shows a fault.
     pub(crate) fn apply_report(&mut self, now: Nanos, report: &LoadReport, share: &ReportShare) {
         self.last_report = Some(*report);
         self.load.apply_report(now, report, share);
--- a/crates/dispatcher/src/worker_entry.rs
+++ b/crates/dispatcher/src/worker_entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the list of workers.
+//! Entries of the worker list.
 
 use crate::ids::WorkerId;
 use crate::time::Nanos;
@@ -8,29 +8,29 @@
 pub enum WorkerStatus {
     /// The worker accepts new work.
     Ready,
-    /// The worker finishes what it has and accepts nothing new.
+    /// The worker finishes its jobs and accepts no new work.
     Draining,
-    /// The worker has gone.
+    /// The worker no longer exists.
     Gone,
 }
 
-/// One entry of the list of workers.
+/// An entry of the worker list.
 #[derive(Clone, Debug)]
 pub struct WorkerEntry {
-    /// The worker's number.
+    /// The worker's identifier.
     pub worker: WorkerId,
-    /// A hash of the worker's address, the same at every dispatcher.
+    /// Hash of the worker's address. All dispatchers compute the same hash.
     pub address_hash: u64,
     /// The worker's zone.
     pub zone: u32,
-    /// The worker's kind; workers of one kind are alike.
+    /// The worker's kind. Workers of one kind are alike.
     pub kind: u32,
-    /// The worker's cell, within which repeats of keyed requests may be dropped.
+    /// The worker's cell, which may be the scope within which repeats of a request with a key are dropped.
     pub cell: u32,
     /// Whether the worker accepts new work.
     pub status: WorkerStatus,
-    /// The worker's registered size, relative to that of other workers; 1 where none is registered.
+    /// The worker's registered size relative to other workers; 1 if none is registered.
     pub registered_size: f64,
-    /// When the worker's process last started; `None` is long ago.
+    /// When the worker's process last started; `None` if that was long ago.
     pub started_at: Option<Nanos>,
 }
--- a/crates/dispatcher/src/worker_table.rs
+++ b/crates/dispatcher/src/worker_table.rs
@@ -1,4 +1,4 @@
-//! The workers that have been listed, and the indexes that spare a pass over all of them.
+//! The table of all workers that have been listed, with indexes that avoid iterating over all of them.
 
 use std::collections::BTreeSet;
 
@@ -8,36 +8,36 @@
 use crate::worker::Worker;
 use crate::worker_entry::{WorkerEntry, WorkerStatus};
 
-/// What a new entry of the list changes about its worker.
+/// What a new list entry changes about a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EntryChange {
-    /// Neither its process nor whether it is ready.
+    /// Neither the worker's process nor its readiness changed.
     Unchanged,
-    /// It is no longer ready.
+    /// The worker is no longer ready.
     NoLongerReady,
-    /// It is new, has restarted or is ready again: what was known of it is void.
+    /// The worker is new, has restarted or is ready again; earlier measurements do not apply any more.
     Started,
 }
 
-/// The workers by their index, which is the number of their [`WorkerId`](crate::WorkerId).
+/// The workers by index, which is the number of their [`WorkerId`](crate::WorkerId).
 pub(crate) struct WorkerTable {
     own_zone: u32,
     reports_registered_size: bool,
     workers: Vec<Option<Worker>>,
-    /// Workers of the own zone that may be open for something.
+    /// Workers of this dispatcher's zone that may be open for some job.
     open_in_zone: IndexSet,
-    /// Workers of other zones that may be open for something.
+    /// Workers of other zones that may be open for some job.
     open_elsewhere: IndexSet,
-    /// Workers that are ready, by the hash of their addresses.
+    /// Ready workers by the hash of their addresses.
     ready_ring: HashRing,
-    /// Workers that are ready and failing.
+    /// Ready workers that count as failing.
     failing: IndexSet,
     mean_registered_size: f64,
     list_is_stale: bool,
 }
 
 impl WorkerTable {
-    /// Creates the table of a dispatcher without workers.
+    /// Creates an empty table.
     pub(crate) fn new(settings: &Settings) -> Self {
         WorkerTable {
             own_zone: settings.zone,
@@ -52,13 +52,13 @@
         }
     }
 
-    /// Returns a worker, if it was ever listed.
+    /// Returns a worker if it was ever listed.
     pub(crate) fn get(&self, index: usize) -> Option<&Worker> {
         self.workers.get(index).and_then(Option::as_ref)
     }
 
-    /// Returns a worker to change. [`WorkerTable::update_indexes`] must follow where the change may open,
-    /// close or eject it.
+    /// Returns a worker for modification. If the modification may open, close or eject the worker, the caller
+    /// must call [`WorkerTable::update_indexes`] afterwards.
     pub(crate) fn get_mut(&mut self, index: usize) -> Option<&mut Worker> {
         self.workers.get_mut(index).and_then(Option::as_mut)
     }
@@ -68,22 +68,23 @@
         self.workers.len()
     }
 
-    /// Returns the number of workers that are ready.
+    /// Returns the number of ready workers.
     pub(crate) fn ready_count(&self) -> usize {
         self.ready_ring.len()
     }
 
-    /// Returns the workers that are ready, by the hash of their addresses.
+    /// Returns the ring of the ready workers, by the hash of their addresses.
     pub(crate) fn ready_ring(&self) -> &HashRing {
         &self.ready_ring
     }
 
-    /// Returns the workers that may be open for something: those of the own zone, and then the others.
+    /// Returns the workers that may be open for some job: first those of this dispatcher's zone, and then the
+    /// others.
     pub(crate) fn open_sets(&self) -> [&IndexSet; 2] {
         [&self.open_in_zone, &self.open_elsewhere]
     }
 
-    /// Returns whether more than half of the ready workers fail, which must have a cause that they share.
+    /// Returns whether more than half of the ready workers are failing, which indicates a shared cause.
     pub(crate) fn most_are_failing(&self) -> bool {
         2 * self.failing.members().len() > self.ready_ring.len()
     }
@@ -93,12 +94,12 @@
         self.list_is_stale
     }
 
-    /// Sets whether the list may be stale, and returns whether that is a change.
+    /// Sets whether the list may be stale, and returns whether that changed.
     pub(crate) fn set_list_is_stale(&mut self, is_stale: bool) -> bool {
         std::mem::replace(&mut self.list_is_stale, is_stale) != is_stale
     }
 
-    /// Marks all workers that are not on a complete list as gone.
+    /// Marks all workers that are not on a complete list as gone, which means not ready.
     pub(crate) fn mark_unlisted_gone(&mut self, entries: &[WorkerEntry]) {
         let listed: BTreeSet<usize> = entries.iter().map(|entry| entry.worker.0 as usize).collect();
         for index in 0..self.workers.len() {
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Counts the entries of a list as ready or not before any of them is taken in, so that the number of
-    /// ready workers is already known then.
+    /// Adds the ready workers of a list to the ring of ready workers, and removes the others. The caller does
+    /// so before it applies the entries, which requires the number of ready workers.
     pub(crate) fn update_ready_ring(&mut self, entries: &[WorkerEntry]) {
         for entry in entries {
             let is_ready = entry.status == WorkerStatus::Ready;
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Adds a worker to the ring of ready ones, or removes it.
+    /// Adds a worker to the ring of ready workers, or removes it.
     fn set_ready(&mut self, address_hash: u64, index: usize, is_ready: bool) {
         let position = mix(address_hash);
         if is_ready {
@@ -131,8 +132,8 @@
         }
     }
 
-    /// Takes in an entry of a worker that is known. What follows is the caller's: [`WorkerTable::insert`] if
-    /// the worker has started, else [`WorkerTable::update_indexes`].
+    /// Applies an entry to a known worker. The caller must then call [`WorkerTable::insert`] if the result is
+    /// [`EntryChange::Started`], and [`WorkerTable::update_indexes`] otherwise.
     pub(crate) fn update_entry(&mut self, entry: &WorkerEntry) -> EntryChange {
         let index = entry.worker.0 as usize;
         let is_ready = entry.status == WorkerStatus::Ready;
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Adds a worker, or replaces all that is known of it.
+    /// Adds a worker, or replaces its entire state.
     pub(crate) fn insert(&mut self, worker: Worker) {
         let index = worker.entry.worker.0 as usize;
         if self.workers.len() <= index {
@@ -163,7 +164,7 @@
         self.update_indexes(index);
     }
 
-    /// Brings the indexes up to date with a worker.
+    /// Updates the indexes to the state of a worker.
     pub(crate) fn update_indexes(&mut self, index: usize) {
         let Some(worker) = self.get(index) else { return };
         let may_be_open = worker.may_be_open();
@@ -176,7 +177,7 @@
         set_member(&mut self.failing, index, is_failing);
     }
 
-    /// Computes the mean registered size of the ready workers anew.
+    /// Recomputes the mean registered size of the ready workers.
     pub(crate) fn update_mean_registered_size(&mut self) {
         let ready = self.workers.iter().flatten().filter(|worker| worker.is_ready);
         let (sum, count) = ready.fold((0.0, 0.0), |(sum, count), worker| {
@@ -185,17 +186,17 @@
         self.mean_registered_size = if count > 0.0 { sum / count } else { 1.0 };
     }
 
-    /// Returns a worker's registered size, or 1 if that is not reported or impossible.
+    /// Returns a worker's registered size, or 1 if the size is not reported or invalid.
     fn registered_size(&self, entry: &WorkerEntry) -> f64 {
-        let is_possible = entry.registered_size > 0.0 && entry.registered_size.is_finite();
-        if self.reports_registered_size && is_possible {
+        let is_valid = entry.registered_size > 0.0 && entry.registered_size.is_finite();
+        if self.reports_registered_size && is_valid {
             entry.registered_size
         } else {
             1.0
         }
     }
 
-    /// Returns a worker's registered size against the mean of the ready workers.
+    /// Returns a worker's registered size relative to the mean of the ready workers.
     pub(crate) fn relative_size(&self, worker: &Worker) -> f64 {
         self.registered_size(&worker.entry) / self.mean_registered_size
     }
