--- a/crates/dispatcher/src/event.rs
+++ b/crates/dispatcher/src/event.rs
@@ -181,7 +181,7 @@
         deadline: Nanos,
     },
     /// Rules that all dispatchers agree on. They apply in full until they lapse, and in their degraded form
-    /// afterwards. The same `Arc` received again only extends their validity.
+    /// afterwards. The same `Arc` received again extends their validity.
     Rules {
         /// The rules.
         rules: Arc<Rules>,
--- a/crates/dispatcher/src/hash_ring.rs
+++ b/crates/dispatcher/src/hash_ring.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Hashes a number to all 64 bits (the finalizer of splitmix64).
+/// Hashes a number so that each bit of the result depends on all of its bits (the finalizer of splitmix64).
 pub fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/dispatcher/src/rules.rs
+++ b/crates/dispatcher/src/rules.rs
@@ -51,13 +51,14 @@
 /// Restricts which new work a worker may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerRestriction {
-    /// No new work.
+    /// The worker is sent no new work.
     Cordoned,
-    /// No new work, and attempts that have not started are cancelled.
+    /// The worker is sent no new work, and its attempts that have not started are cancelled.
     Drained,
-    /// No new work, attempts that have not started are cancelled, and the worker is not probed.
+    /// The worker is sent no new work, its attempts that have not started are cancelled, and it is not
+    /// probed.
     Excluded,
-    /// Only new work of this tenant.
+    /// The worker is sent new work of this tenant only.
     ReservedFor(u32),
 }
 
--- a/crates/dispatcher/src/settings.rs
+++ b/crates/dispatcher/src/settings.rs
@@ -3,8 +3,8 @@
 use crate::time::Nanos;
 use crate::worker_entry::WorkerEntry;
 
-/// At most one part in this many of a deduplication window is reserved for the transit of a repeat to its
-/// worker.
+/// Upper bound of the time that is reserved for the transit of a repeat to its worker: the deduplication
+/// window divided by this.
 const MAX_TRANSIT_DIVISOR: Nanos = 4;
 
 /// Whether a request may run more than once.
@@ -18,7 +18,7 @@
     NonIdempotent,
 }
 
-/// The workers that drop repeats of a request with a key that another of them was sent.
+/// The workers that drop each other's repeats of a request with a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All workers.
@@ -52,15 +52,16 @@
 }
 
 impl Class {
-    /// Returns whether `worker` drops a repeat of a request that `first` was sent and may have run, within
-    /// the deduplication window. Classes without a key have no scope, and the result is always true for them.
-    pub fn deduplicates(&self, first: &WorkerEntry, worker: &WorkerEntry) -> bool {
+    /// Returns whether `worker` drops a repeat of a request that `first_worker` was sent and may have run,
+    /// within the deduplication window. Classes without a key have no scope, and the result is always true
+    /// for them.
+    pub fn deduplicates(&self, first_worker: &WorkerEntry, worker: &WorkerEntry) -> bool {
         match self.idempotency {
             Idempotency::Idempotent
             | Idempotency::NonIdempotent
             | Idempotency::IdempotentWithKey(DeduplicationScope::All) => true,
-            Idempotency::IdempotentWithKey(DeduplicationScope::Zone) => first.zone == worker.zone,
-            Idempotency::IdempotentWithKey(DeduplicationScope::Cell) => first.cell == worker.cell,
+            Idempotency::IdempotentWithKey(DeduplicationScope::Zone) => first_worker.zone == worker.zone,
+            Idempotency::IdempotentWithKey(DeduplicationScope::Cell) => first_worker.cell == worker.cell,
         }
     }
 
--- a/crates/dispatcher/src/worker.rs
+++ b/crates/dispatcher/src/worker.rs
@@ -42,7 +42,7 @@
     is_in_flight: bool,
     /// When a job last requested a probe.
     requested_at: Nanos,
-    /// From when on a job may request another probe.
+    /// Earliest time at which a job may request another probe.
     next_request_at: Nanos,
     /// When the last probe ended.
     last_ended_at: Nanos,
@@ -180,7 +180,8 @@
     pub(crate) slow_start_requests: RequestFrequency,
     /// Whether a failure keeps the worker closed until its next probe.
     is_ejected: bool,
-    failures: f64,
+    /// Decaying count of failures.
+    failure_count: f64,
 }
 
 impl Worker {
@@ -197,7 +198,7 @@
             bucket,
             slow_start_requests: RequestFrequency::default(),
             is_ejected: false,
-            failures: 0.0,
+            failure_count: 0.0,
         }
     }
 
@@ -208,18 +209,18 @@
 
     /// Returns whether the worker counts as failing.
     pub(crate) fn is_failing(&self) -> bool {
-        self.failures >= 1.0
+        self.failure_count >= 1.0
     }
 
     /// Returns whether the worker has failed more than once.
     pub(crate) fn fails_repeatedly(&self) -> bool {
-        self.failures > 1.0
+        self.failure_count > 1.0
     }
 
     /// Returns the factor by which failures lengthen the delay of the next probe: one doubling for each
     /// counted failure, up to `max_doublings`.
     pub(crate) fn backoff_factor(&self, max_doublings: f64) -> f64 {
-        self.failures.min(max_doublings).exp2()
+        self.failure_count.min(max_doublings).exp2()
     }
 
     /// Returns whether the worker may be open for some job.
@@ -242,14 +243,14 @@
     /// worker is ejected, only failed probes add to the failure count.
     pub(crate) fn record_failure(&mut self, weight: FailureWeight) {
         if !self.is_ejected || self.probe.is_in_flight() {
-            self.failures = (self.failures + weight.value()).min(MAX_DOUBLINGS + 1.0);
+            self.failure_count = (self.failure_count + weight.value()).min(MAX_DOUBLINGS + 1.0);
         }
         self.is_ejected = true;
     }
 
     /// Reduces the failure count because of a success.
     pub(crate) fn record_success(&mut self) {
-        self.failures *= 1.0 - SUCCESS_DECAY;
+        self.failure_count *= 1.0 - SUCCESS_DECAY;
     }
 
     /// Ends the ejection because a probe confirmed that the worker accepts work.
--- a/crates/dispatcher/src/worker_load.rs
+++ b/crates/dispatcher/src/worker_load.rs
@@ -14,8 +14,8 @@
 /// Jobs for each slot that end before the next report. A dispatcher with low traffic counts the slots of
 /// these jobs as free too.
 const COMPLETIONS_PER_SLOT: f64 = 4.0;
-/// The same where the warm workers report no free slots: the data of a key that moves to another worker must
-/// be fetched there.
+/// The same where the warm workers report no free slots, because the data of a key that moves to another
+/// worker must be fetched there.
 const COMPLETIONS_PER_SLOT_WHEN_BUSY: f64 = 10.0;
 /// Share of free slots below which the fleet counts as busy.
 const BUSY_FREE_SHARE: f64 = 0.25;
@@ -52,8 +52,8 @@
 }
 
 impl ReportShare {
-    /// Returns the share of a dispatcher with high traffic, which all dispatchers take of the same free
-    /// slots. `random`, a number from 0 to 1, decides how the share is rounded.
+    /// Returns the share of a dispatcher with high traffic. All dispatchers count the same free slots, so
+    /// `random`, a number from 0 to 1, decides whether a fraction of a slot is rounded up or down.
     pub(crate) fn for_high_traffic(dispatchers: u32, typical_slots: f64, random: f64) -> ReportShare {
         let share = (HIGH_TRAFFIC_FACTOR / f64::from(dispatchers)).min(1.0);
         ReportShare { completions_per_slot: 0.0, typical_slots, share, rounding: Some(random) }
