--- a/crates/dispatcher/src/dispatcher/admission.rs
+++ b/crates/dispatcher/src/dispatcher/admission.rs
@@ -8,7 +8,7 @@
 use crate::held_requests::{HoldPosition, HoldRank};
 use crate::ids::RequestId;
 use crate::job::Job;
-use crate::paper::K;
+use crate::parameters::K;
 use crate::settings::{DeduplicationScope, Idempotency};
 use crate::time::{Nanos, MILLISECOND};
 use crate::timers::Timer;
@@ -92,7 +92,7 @@
         };
         Job {
             request,
-            arrival: self.arrival_count,
+            arrival_number: self.arrival_count,
             deadline,
             hold_until,
             quota_use,
@@ -163,7 +163,7 @@
     /// Adds the request to the hold queue, or moves it to another rank of the queue.
     fn hold(&mut self, request_id: RequestId, rank: HoldRank) {
         let Some(job) = self.jobs.get_mut(&request_id) else { return };
-        let position = HoldPosition { rank, arrival: job.arrival };
+        let position = HoldPosition { rank, arrival_number: job.arrival_number };
         let previous_position = job.hold_position.replace(position);
         self.held_requests.put(request_id, previous_position, position, &job.candidates);
         let (hold_until, slots, memory) = (job.hold_until, job.request.slots, job.request.memory);
--- a/crates/dispatcher/src/dispatcher/attempts.rs
+++ b/crates/dispatcher/src/dispatcher/attempts.rs
@@ -75,10 +75,10 @@
         let useful_until = job.hold_until.max(self.now + class.latency_objective);
         if class.idempotency != Idempotency::NonIdempotent {
             let silent_at = self.now + self.max_silence() + 1;
-            self.timers.start(silent_at, Timer::Hedge(attempt_id));
+            self.timers.start(silent_at, Timer::SignalTimeout(attempt_id));
         }
         if self.settings.notifies_job_start {
-            self.timers.start(useful_until, Timer::Hedge(attempt_id));
+            self.timers.start(useful_until, Timer::SignalTimeout(attempt_id));
         }
     }
 
@@ -119,10 +119,10 @@
         let Some(job) = self.jobs.get_mut(&attempt_id.request) else { return };
         let attempt = job.attempts.get_mut(attempt_id.number as usize);
         let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight) else { return };
-        let order = SignalOrder::after(attempt.first_signal_at);
+        let order = SignalOrder::from_first_signal(attempt.first_signal_at);
         attempt.first_signal_at.get_or_insert(self.now);
         if let Some(worker) = self.workers.get_mut(attempt.worker) {
-            worker.health.attempt_signal(self.now, order, SignalSource::Worker);
+            worker.health.signal_received(self.now, order, SignalSource::Worker);
         }
         if order == SignalOrder::First && self.settings.notifies_job_start {
             self.start_service_time(attempt_id);
@@ -223,7 +223,7 @@
             return;
         }
         worker.load.job_ended(now, ended.slots, ended.memory);
-        let order = SignalOrder::after(ended.first_signal_at);
+        let order = SignalOrder::from_first_signal(ended.first_signal_at);
         let worker_is_silent = worker.health.is_silent(now, max_silence);
         match outcome.outcome {
             Outcome::Ok => worker.record_success(),
@@ -244,7 +244,7 @@
             Outcome::Timeout | Outcome::Cancelled | Outcome::NotSent => SignalSource::Local,
             _ => SignalSource::Worker,
         };
-        worker.health.attempt_signal(now, order, source);
+        worker.health.signal_received(now, order, source);
         if let Some(report) = outcome.report.filter(|_| !worker.is_ejected()) {
             worker.apply_report(now, &report, share);
         }
--- a/crates/dispatcher/src/dispatcher/mod.rs
+++ b/crates/dispatcher/src/dispatcher/mod.rs
@@ -158,8 +158,8 @@
         match timer {
             Timer::Deadline(request) => self.reject_or_fail(request, actions),
             Timer::HoldTimeout(request) => self.handle_hold_timeout(request, actions),
-            Timer::Hedge(attempt) => self.cancel_unconfirmed_attempt(attempt, actions),
-            Timer::Probe { worker, number } => self.handle_probe_timer(worker, number, actions),
+            Timer::SignalTimeout(attempt) => self.cancel_unconfirmed_attempt(attempt, actions),
+            Timer::Probe { worker, generation } => self.handle_probe_timer(worker, generation, actions),
             Timer::ProbeNextCandidate { request, search } => {
                 self.probe_next_candidate(request, search, actions);
             }
--- a/crates/dispatcher/src/dispatcher/probing.rs
+++ b/crates/dispatcher/src/dispatcher/probing.rs
@@ -7,12 +7,12 @@
 use crate::event::{LoadReport, Outcome};
 use crate::ids::{RequestId, WorkerId};
 use crate::job::Job;
-use crate::paper::TAU;
+use crate::parameters::TAU;
 use crate::probe_budget::ProbeBudget;
 use crate::time::{Nanos, MILLISECOND};
 use crate::timers::Timer;
 use crate::worker::{FailureWeight, MAX_DOUBLINGS};
-use crate::worker_load::{LowTrafficShare, ReportShare};
+use crate::worker_load::{LowTrafficInputs, ReportShare};
 
 /// Time (ns) after which an unanswered probe counts as failed.
 const PROBE_TIMEOUT: Nanos = 2_000 * MILLISECOND;
@@ -49,10 +49,11 @@
         let has_shared_fault = worker.fails_repeatedly() && most_are_failing;
         let max_doublings = if has_shared_fault { SHARED_FAULT_MAX_DOUBLINGS } else { MAX_DOUBLINGS };
         let backoff_factor = worker.backoff_factor(max_doublings);
-        let number = worker.probe.schedule();
-        let affordable_interval = ProbeBudget::affordable_interval(worker_count, self.arrival_rate.per_s());
+        let generation = worker.probe.schedule();
+        let affordable_interval =
+            ProbeBudget::affordable_interval_ns(worker_count, self.arrival_rate.per_s());
         let delay = self.jittered((affordable_interval.max(TAU as f64) * backoff_factor) as Nanos);
-        self.timers.start(self.now + delay, Timer::Probe { worker: worker_index, number });
+        self.timers.start(self.now + delay, Timer::Probe { worker: worker_index, generation });
     }
 
     /// Updates the open state of all workers, and sends them held requests.
@@ -122,26 +123,31 @@
             return;
         }
         let min_interval = (TAU as f64 * worker.backoff_factor(MAX_DOUBLINGS)) as Nanos;
-        let number = worker.probe.schedule_for_job(now, now + min_interval);
+        let generation = worker.probe.schedule_for_job(now, now + min_interval);
         self.probe_budget.spend();
-        self.handle_probe_timer(worker_index, number, actions);
+        self.handle_probe_timer(worker_index, generation, actions);
     }
 
     /// Sends the scheduled probe, or counts the probe in flight as failed.
-    pub(super) fn handle_probe_timer(&mut self, worker_index: usize, number: u32, actions: &mut Vec<Action>) {
+    pub(super) fn handle_probe_timer(
+        &mut self,
+        worker_index: usize,
+        generation: u32,
+        actions: &mut Vec<Action>,
+    ) {
         let Some(worker) = self.workers.get_mut(worker_index) else { return };
-        if !worker.probe.is_current(number) {
+        if !worker.probe.is_current(generation) {
             return;
         }
         if worker.probe.is_in_flight() {
             // The probe timed out: neither an answer nor a failure was reported.
             worker.record_failure(FailureWeight::Full);
-            worker.probe.lost();
+            worker.probe.mark_lost();
             self.update_open_state(worker_index);
         } else if worker.probe.take_scheduled() && !self.active_rules.excludes(worker.entry.address_hash) {
-            worker.probe.sent();
+            worker.probe.mark_sent();
             actions.push(Action::Probe { worker: WorkerId(worker_index as u32) });
-            self.timers.start(self.now + PROBE_TIMEOUT, Timer::Probe { worker: worker_index, number });
+            self.timers.start(self.now + PROBE_TIMEOUT, Timer::Probe { worker: worker_index, generation });
         }
     }
 
@@ -167,7 +173,7 @@
         } else if outcome != Outcome::NotSent {
             worker.record_failure(FailureWeight::Full);
         }
-        worker.probe.ended(self.now);
+        worker.probe.mark_ended(self.now);
         if worker.load.free_slots().is_some() {
             self.service_rates.record_slots(worker.entry.kind, worker.load.known_slots());
         }
@@ -200,7 +206,7 @@
         let slow_start_weight = worker.and_then(|worker| self.slow_start_weight(worker));
         let relative_demand =
             slow_start_weight.map_or(1.0, |weight| (weight / self.mean_traffic_weight).min(1.0));
-        let inputs = LowTrafficShare {
+        let inputs = LowTrafficInputs {
             jobs_per_report: self.arrivals_per_report_age() / self.workers.ready_count().max(1) as f64,
             relative_demand,
             slow_start_weight,
--- a/crates/dispatcher/src/dispatcher/selection.rs
+++ b/crates/dispatcher/src/dispatcher/selection.rs
@@ -6,7 +6,7 @@
 use crate::hash_ring::{mix, shuffle_first};
 use crate::ids::RequestId;
 use crate::job::Job;
-use crate::paper::{K, K_WITH_AFFINITY};
+use crate::parameters::{K, K_WITH_AFFINITY};
 use crate::settings::Idempotency;
 use crate::slow_start_admission::WarmingSample;
 use crate::time::{Nanos, NANOS_PER_SECOND};
@@ -173,7 +173,7 @@
             let is_allowed = self.active_rules.allows(worker.entry.address_hash, tenant, self.now);
             is_allowed.then_some(1.0)
         };
-        let mut ranked = self.workers.ready().rank(key, AFFINITY_NEIGHBOURS, weight);
+        let mut ranked = self.workers.ready_ring().rank(key, AFFINITY_NEIGHBOURS, weight);
         ranked.truncate(MAX_AFFINITY_WORKERS);
         ranked
     }
@@ -231,7 +231,7 @@
             }
             self.traffic_weight(worker_index)
         };
-        self.workers.ready().rank(key, LOW_TRAFFIC_NEIGHBOURS, weight)
+        self.workers.ready_ring().rank(key, LOW_TRAFFIC_NEIGHBOURS, weight)
     }
 
     /// Returns the job's first open candidate, or `None` if a probe may open an earlier one. If the job
@@ -258,6 +258,6 @@
 /// The number is a hash of key and worker, the same at all dispatchers, so that a worker sheds whole keys. If
 /// it shed single jobs, each key's data would be fetched at two workers and displace other keys at both.
 fn rounding_allowance(worker: &Worker, job: &Job) -> f64 {
-    let hash = mix(job.request.key.unwrap_or(job.arrival) ^ mix(!worker.entry.address_hash));
+    let hash = mix(job.request.key.unwrap_or(job.arrival_number) ^ mix(!worker.entry.address_hash));
     hash as f64 / u64::MAX as f64
 }
