--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: takes inputs, has the dispatcher decide on them, and returns outputs.
+//! The engine: it passes inputs to the dispatcher and turns the dispatcher's decisions into outputs.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
@@ -16,10 +16,11 @@
 use crate::permits::{self, AttemptFacts, Denial, Operation, Violation};
 use crate::worker_registry::{KnownWorker, WorkerRegistry};
 
-/// The largest number of violations that are kept for the host: a host that never takes them must not let memory grow.
+/// The largest number of violations kept for the host. The bound limits the memory used if a host never takes
+/// them.
 const MAX_VIOLATIONS: usize = 1_024;
 
-/// The settings on which permits are decided.
+/// The settings that permit checks use.
 struct PermitSettings {
     classes: Vec<Class>,
     connect_timeout: Nanos,
@@ -37,43 +38,45 @@
         }
     }
 
-    /// Returns a class of the settings; an index that is out of range means the last.
+    /// Returns a class of the settings; an index out of range means the last class.
     fn class(&self, class: u32) -> Option<&Class> {
         self.classes.get(class as usize).or(self.classes.last())
     }
 }
 
-/// A violation, with the job that it concerns.
+/// A violation and the job that it concerns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobViolation<J> {
     /// The host's id of the job.
     pub job_id: J,
-    /// The rule that was broken.
+    /// The violation.
     pub violation: Violation,
 }
 
-/// Hosts one [`Dispatcher`]; see the [crate's documentation](crate).
+/// The state machine between one [`Dispatcher`] and its host; see the [crate's documentation](crate).
 pub struct Engine<J, A, R> {
     dispatcher: Dispatcher,
     /// The time of the last input.
     now: Nanos,
-    requests: HashMap<J, RequestId>,
+    request_ids: HashMap<J, RequestId>,
     open_jobs: HashMap<RequestId, OpenJob<J>>,
     permit_settings: PermitSettings,
     violations: Vec<JobViolation<J>>,
-    next_request: u64,
+    next_request_id: u64,
     workers: WorkerRegistry<A>,
-    /// The times at which the dispatcher asked to be woken, the earliest first.
-    wakes: BinaryHeap<Reverse<Nanos>>,
-    /// The dispatcher's actions on the event in hand; kept for its allocation.
+    /// The times at which the dispatcher has requested a wake, the earliest first.
+    wake_times: BinaryHeap<Reverse<Nanos>>,
+    /// The dispatcher's actions on the current event. The buffer is kept so that its allocation is reused.
     actions: Vec<Action>,
-    /// Events to which the dispatcher's own actions have led. The dispatcher gets them after those actions are applied.
-    follow_ups: VecDeque<Event>,
+    /// Events that the dispatcher has yet to handle: that of the current input, and those that the
+    /// dispatcher's own actions cause. The latter are handled after all actions of the current event have
+    /// been applied.
+    pending_events: VecDeque<Event>,
     outputs: Vec<Output<J, R>>,
 }
 
 impl<J: Clone + Eq + Hash, A, R> Engine<J, A, R> {
-    /// Creates an engine that knows no workers yet. `seed` initializes its random choices.
+    /// Creates an engine without workers. `seed` initializes its random choices.
     ///
     /// # Errors
     ///
@@ -83,50 +86,52 @@
         Ok(Engine {
             dispatcher: Dispatcher::new(settings, seed)?,
             now: 0,
-            requests: HashMap::new(),
+            request_ids: HashMap::new(),
             open_jobs: HashMap::new(),
             permit_settings,
             violations: Vec::new(),
-            next_request: 0,
+            next_request_id: 0,
             workers: WorkerRegistry::new(),
-            wakes: BinaryHeap::new(),
+            wake_times: BinaryHeap::new(),
             actions: Vec::new(),
-            follow_ups: VecDeque::new(),
+            pending_events: VecDeque::new(),
             outputs: Vec::new(),
         })
     }
 
-    /// Returns the worker with a number that an output has named.
+    /// Returns the worker with this number, as named in an output.
     pub fn worker(&self, number: u32) -> Option<&KnownWorker<A>> {
         self.workers.get(number)
     }
 
-    /// Returns the number of a worker that has been listed under this name.
+    /// Returns the number of the worker that has been listed under this name.
     pub fn worker_number(&self, name: &str) -> Option<u32> {
         self.workers.number(name)
     }
 
-    /// Returns the number of jobs that are not answered yet or have attempts whose end is still to be reported.
+    /// Returns the number of jobs that are not answered yet or have attempts whose end the host has yet to
+    /// report.
     pub fn open_job_count(&self) -> usize {
         self.open_jobs.len()
     }
 
-    /// Returns the violations found since the last call: actions of the dispatcher that no permit was granted for, so that
-    /// they had no effect outside. Each is a fault of this program.
+    /// Returns the violations found since the last call: actions of the dispatcher for which no permit was
+    /// granted, and which therefore produced no output. Each is a fault of this program.
     pub fn take_violations(&mut self) -> Vec<JobViolation<J>> {
         std::mem::take(&mut self.violations)
     }
 
-    /// Returns when [`Input::Wake`] is due if no other input comes before.
+    /// Returns the time at which [`Input::Wake`] is due, if no other input comes first.
     pub fn next_wake(&self) -> Option<Nanos> {
-        self.wakes.peek().map(|at| at.0)
+        self.wake_times.peek().map(|at| at.0)
     }
 
-    /// Takes an input with its time, and appends the outputs that follow from it, in order.
+    /// Handles an input that happened at `now` and appends the resulting outputs, in order.
     ///
     /// # Errors
     ///
-    /// Returns an error if the input is impossible in the engine's state. The engine has ignored it then.
+    /// Returns an error if the input is impossible in the engine's state. The engine has then ignored the
+    /// input.
     pub fn handle(
         &mut self,
         now: Nanos,
@@ -145,7 +150,7 @@
             Input::Job { job_id, job } => self.open_job(job_id, job)?,
             Input::ClientDisconnected { job_id } => self.disconnect_client(&job_id),
             Input::Progress { job_id, attempt } => {
-                if let Some(&request) = self.requests.get(&job_id) {
+                if let Some(&request) = self.request_ids.get(&job_id) {
                     self.dispatch(Event::Progress { request, attempt });
                 }
             }
@@ -164,44 +169,46 @@
 
     fn update_workers(&mut self, kind: ListKind, workers: Vec<Endpoint<A>>) {
         if matches!(kind, ListKind::Complete | ListKind::Cached) {
-            // A worker that a complete list omits has gone.
+            // A worker that a complete list omits has been removed.
             self.workers.mark_all_unlisted();
         }
         let entries = match kind {
             ListKind::Failed | ListKind::Stale => Vec::new(),
             _ => workers.into_iter().map(|endpoint| self.workers.update(endpoint)).collect(),
         };
-        self.withdraw_from_unlisted(kind, &entries);
+        self.cancel_unstarted_attempts(kind, &entries);
         self.dispatch(Event::WorkerList { kind, entries });
     }
 
-    /// Withdraws the unstarted attempts to workers that drain or have gone.
-    fn withdraw_from_unlisted(&mut self, kind: ListKind, entries: &[WorkerEntry]) {
-        let keeps_unlisted = match kind {
+    /// Cancels the unstarted attempts to workers that drain or have been removed; with a stale list, to all
+    /// workers.
+    fn cancel_unstarted_attempts(&mut self, kind: ListKind, entries: &[WorkerEntry]) {
+        let keeps_omitted_workers = match kind {
             ListKind::Failed => return,
             ListKind::Changes => true,
             ListKind::Complete | ListKind::Cached => false,
-            // Every attempt was decided by data that may be out of date now and is to be decided anew.
+            // The data by which the attempts were decided may be out of date, so that all must be decided
+            // again.
             ListKind::Stale => false,
         };
         let is_ready: HashMap<u32, bool> =
             entries.iter().map(|entry| (entry.worker.0, entry.status == WorkerStatus::Ready)).collect();
-        // Sorted, so that the same inputs give the same outputs in any process.
+        // The order of a `HashMap` differs between processes; the order of outputs must not.
         let mut jobs: Vec<_> = self.open_jobs.iter().collect();
         jobs.sort_unstable_by_key(|(request, _)| request.0);
         for (_, job) in jobs {
-            let is_withdrawn = |worker| !is_ready.get(&worker).copied().unwrap_or(keeps_unlisted);
-            job.cancel_unstarted(is_withdrawn, &mut self.outputs);
+            let is_affected = |worker| !is_ready.get(&worker).copied().unwrap_or(keeps_omitted_workers);
+            job.cancel_unstarted(is_affected, &mut self.outputs);
         }
     }
 
     fn open_job(&mut self, job_id: J, job: Job) -> Result<(), EngineError> {
-        if self.requests.contains_key(&job_id) {
+        if self.request_ids.contains_key(&job_id) {
             return Err(EngineError::DuplicateJob);
         }
-        let request = RequestId(self.next_request);
-        self.next_request += 1;
-        self.requests.insert(job_id.clone(), request);
+        let request = RequestId(self.next_request_id);
+        self.next_request_id += 1;
+        self.request_ids.insert(job_id.clone(), request);
         let open = OpenJob {
             id: job_id,
             class: job.class,
@@ -224,41 +231,48 @@
     }
 
     fn disconnect_client(&mut self, job_id: &J) {
-        // The input may cross the answer. The dispatcher has ended the request then.
-        let Some(&request) = self.requests.get(job_id) else { return };
+        // The input may cross the answer, in which case the dispatcher has already ended the request.
+        let Some(&request) = self.request_ids.get(job_id) else { return };
         let Some(job) = self.open_jobs.get_mut(&request).filter(|job| !job.is_finished) else { return };
         job.is_finished = true;
         self.dispatch(Event::ClientDisconnected { request });
-        // Attempts that the dispatcher has cancelled are not in flight any more.
+        // Attempts that the dispatcher has just cancelled are in `AttemptState::Cancelled` and are skipped
+        // here.
         if let Some(job) = self.open_jobs.get(&request) {
             job.cancel_unstarted(|_| true, &mut self.outputs);
         }
         self.remove_if_done(request);
     }
 
-    fn begin_streaming(&mut self, job_id: &J, number: u32) {
-        let Some(&request) = self.requests.get(job_id) else { return };
+    fn begin_streaming(&mut self, job_id: &J, attempt_number: u32) {
+        let Some(&request) = self.request_ids.get(job_id) else { return };
         let Some(job) = self.open_jobs.get_mut(&request).filter(|job| !job.is_finished) else { return };
-        let Some(attempt) = job.attempts.get_mut(number as usize) else { return };
-        // The first attempt to stream answers the client, also one that was cancelled while its answer was on the way.
-        if job.deadline.is_none() || !attempt.state.awaits_end() {
+        let Some(attempt) = job.attempts.get_mut(attempt_number as usize) else { return };
+        // The first attempt that streams answers the client, even if it was cancelled while its answer was in
+        // transit.
+        if job.deadline.is_none() || !attempt.state.is_active() {
             return;
         }
         attempt.state = AttemptState::Streaming;
         job.deadline = None;
-        self.dispatch(Event::Streaming { request, attempt: number });
+        self.dispatch(Event::Streaming { request, attempt: attempt_number });
     }
 
-    fn end_attempt(&mut self, job_id: &J, number: u32, result: AttemptResult<R>) -> Result<(), EngineError> {
-        let request = *self.requests.get(job_id).ok_or(EngineError::AttemptNotInFlight)?;
+    fn end_attempt(
+        &mut self,
+        job_id: &J,
+        attempt_number: u32,
+        result: AttemptResult<R>,
+    ) -> Result<(), EngineError> {
+        let request = *self.request_ids.get(job_id).ok_or(EngineError::AttemptNotInFlight)?;
         let job = self.open_jobs.get_mut(&request).ok_or(EngineError::AttemptNotInFlight)?;
-        let attempt = job.attempts.get_mut(number as usize).ok_or(EngineError::AttemptNotInFlight)?;
+        let attempt = job.attempts.get_mut(attempt_number as usize).ok_or(EngineError::AttemptNotInFlight)?;
         let AttemptResult { outcome, result, report } = result;
         let state = attempt.end(outcome).ok_or(EngineError::AttemptNotInFlight)?;
         let outcome = if outcome == Outcome::Ok && result.is_none() { Outcome::Error } else { outcome };
         let answer = match result.filter(|_| outcome == Outcome::Ok) {
             Some(result) => Some(FinalAnswer::Served(result)),
-            // An answer that has begun to stream cannot be sent again.
+            // Part of a streamed answer may have reached the client, so that no other attempt can replace it.
             None if state == AttemptState::Streaming => Some(FinalAnswer::Failed),
             None => None,
         };
@@ -267,15 +281,15 @@
             self.outputs.push(Output::FinalAnswer { job_id: job.id.clone(), answer });
         }
         let finished = job.is_finished;
-        self.dispatch(Event::AttemptEnded { request, attempt: number, outcome, finished, report });
+        self.dispatch(Event::AttemptEnded { request, attempt: attempt_number, outcome, finished, report });
         self.remove_if_done(request);
         Ok(())
     }
 
     fn wake(&mut self) {
         let mut is_due = false;
-        while self.wakes.peek().is_some_and(|at| at.0 <= self.now) {
-            self.wakes.pop();
+        while self.wake_times.peek().is_some_and(|at| at.0 <= self.now) {
+            self.wake_times.pop();
             is_due = true;
         }
         if is_due {
@@ -283,10 +297,11 @@
         }
     }
 
-    /// Passes an event to the dispatcher and applies its actions, and then those of all events that follow from them.
+    /// Passes an event to the dispatcher and applies its actions, then does the same for all events that they
+    /// cause.
     fn dispatch(&mut self, event: Event) {
-        self.follow_ups.push_back(event);
-        while let Some(event) = self.follow_ups.pop_front() {
+        self.pending_events.push_back(event);
+        while let Some(event) = self.pending_events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.dispatcher.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
@@ -306,7 +321,7 @@
             Action::Fail { request } => self.answer(request, FinalAnswer::Failed),
             Action::Probe { worker } => self.outputs.push(Output::Probe { worker: worker.0 }),
             Action::Subscribe => self.outputs.push(Output::Subscribe),
-            Action::Wake { at } => self.wakes.push(Reverse(at)),
+            Action::Wake { at } => self.wake_times.push(Reverse(at)),
         }
     }
 
@@ -314,20 +329,20 @@
         let Some(known) = self.workers.get(worker.0) else { return };
         let (entry, worker_is_ready) = (known.entry.clone(), known.is_ready);
         let Some(job) = self.open_jobs.get(&request) else { return };
-        let number = job.attempts.len() as u32;
-        // With a timeout of 0 only the client's deadline bounds the attempt.
+        let attempt_number = job.attempts.len() as u32;
+        // With a timeout of 0 only the client's deadline limits the attempt.
         let timeout_at = if timeout == 0 { Nanos::MAX } else { self.now.saturating_add(timeout) };
         let deadline = job.deadline.map_or(timeout_at, |deadline| deadline.min(timeout_at));
-        // An attempt for a job that is finished or out of time is not sent, which is no violation.
-        let is_pointless = job.is_finished || deadline <= self.now;
-        let denial = if is_pointless { None } else { self.attempt_denial(job, &entry, worker_is_ready) };
+        // An attempt of a job that is finished or past its deadline is not started; this is not a violation.
+        let is_obsolete = job.is_finished || deadline <= self.now;
+        let denial = if is_obsolete { None } else { self.attempt_denial(job, &entry, worker_is_ready) };
         self.record_violation(request, Operation::Attempt, denial);
         let Some(job) = self.open_jobs.get_mut(&request) else { return };
-        if is_pointless || denial.is_some() {
-            job.attempts.push(Attempt::never_sent(entry, self.now));
-            self.follow_ups.push_back(Event::AttemptEnded {
+        if is_obsolete || denial.is_some() {
+            job.attempts.push(Attempt::not_sent(entry, self.now));
+            self.pending_events.push_back(Event::AttemptEnded {
                 request,
-                attempt: number,
+                attempt: attempt_number,
                 outcome: Outcome::NotSent,
                 finished: job.is_finished,
                 report: None,
@@ -337,14 +352,14 @@
         job.attempts.push(Attempt::in_flight(entry, self.now));
         self.outputs.push(Output::StartAttempt(StartAttempt {
             job_id: job.id.clone(),
-            attempt: number,
+            attempt: attempt_number,
             worker: worker.0,
             deadline,
             send_by,
         }));
     }
 
-    /// Returns the reason why an attempt must not be made, if there is one.
+    /// Returns the reason why an attempt must not be started, if there is one.
     fn attempt_denial(
         &self,
         job: &OpenJob<J>,
@@ -374,16 +389,17 @@
         }
     }
 
-    fn cancel_attempt(&mut self, request: RequestId, number: u32) {
+    fn cancel_attempt(&mut self, request: RequestId, attempt_number: u32) {
         let Some(job) = self.open_jobs.get_mut(&request) else { return };
-        let Some(attempt) = job.attempts.get_mut(number as usize) else { return };
+        let Some(attempt) = job.attempts.get_mut(attempt_number as usize) else { return };
         if attempt.state == AttemptState::InFlight {
             attempt.state = AttemptState::Cancelled;
-            self.outputs.push(Output::Cancel { job_id: job.id.clone(), attempt: number });
+            self.outputs.push(Output::Cancel { job_id: job.id.clone(), attempt: attempt_number });
         }
     }
 
-    /// Rejects a job, which promises that a retry is harmless; fails it where a retry would not be.
+    /// Rejects a job, which tells the client that a retry is harmless. Fails the job if a retry could do
+    /// harm.
     fn reject(&mut self, request: RequestId, retry_after: Nanos) {
         let Some(job) = self.open_jobs.get(&request).filter(|job| !job.is_finished) else { return };
         let class = self.permit_settings.class(job.class);
@@ -406,14 +422,14 @@
         self.remove_if_done(request);
     }
 
-    /// Removes a job that no input can name any more.
+    /// Removes a job that is finished and has no active attempts, so that no further input can name it.
     fn remove_if_done(&mut self, request: RequestId) {
         let Some(job) = self.open_jobs.get(&request) else { return };
-        if !job.is_finished || job.attempts_awaiting_end() > 0 {
+        if !job.is_finished || job.active_attempt_count() > 0 {
             return;
         }
         if let Some(job) = self.open_jobs.remove(&request) {
-            self.requests.remove(&job.id);
+            self.request_ids.remove(&job.id);
         }
     }
 }
--- a/crates/engine/src/output.rs
+++ b/crates/engine/src/output.rs
@@ -1,13 +1,13 @@
-//! The outputs of an [`Engine`](crate::Engine): everything that its host is to do.
+//! The outputs of an [`Engine`](crate::Engine): the operations that its host must carry out.
 
 use nickelflow_dispatcher::Nanos;
 
 /// The single final answer to a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalAnswer<R> {
-    /// A worker's result.
+    /// The job was served with a worker's result.
     Served(R),
-    /// The job is rejected: a retry is harmless.
+    /// The job was rejected; a retry by the client is harmless.
     Rejected {
         /// How long the client should wait before it retries (ns); 0 gives no advice.
         retry_after: Nanos,
@@ -17,7 +17,7 @@
 }
 
 impl<R> FinalAnswer<R> {
-    /// Returns the kind of answer, for logs.
+    /// Returns the name of the kind of answer, for logs.
     pub fn name(&self) -> &'static str {
         match self {
             FinalAnswer::Served(_) => "served",
@@ -27,7 +27,7 @@
     }
 }
 
-/// One attempt to be started.
+/// An attempt that the host must start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartAttempt<J> {
     /// The job of the attempt.
@@ -36,14 +36,16 @@
     pub attempt: u32,
     /// The number of the worker; [`Engine::worker`](crate::Engine::worker) returns its name and address.
     pub worker: u32,
-    /// When the attempt is to be given up as [`Outcome::Timeout`](crate::Outcome::Timeout) (ns on the engine's clock).
+    /// When the attempt times out, as [`Outcome::Timeout`](crate::Outcome::Timeout) (ns on the engine's
+    /// clock).
     pub deadline: Nanos,
-    /// The time from which no byte of the attempt may be written (ns on the engine's clock). If its last byte has not been
-    /// written by then, it ends as [`Outcome::NotSent`](crate::Outcome::NotSent). [`Nanos::MAX`] where nothing bounds it.
+    /// The time from which no byte of the attempt may be written (ns on the engine's clock). If its last byte
+    /// has not been written by then, the attempt ends as [`Outcome::NotSent`](crate::Outcome::NotSent).
+    /// [`Nanos::MAX`] means that there is no limit.
     pub send_by: Nanos,
 }
 
-/// Something that the host is to do.
+/// An operation that the host must carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output<J, R> {
     /// Start an attempt.
@@ -59,23 +61,26 @@
     FinalAnswer {
         /// The job to answer.
         job_id: J,
-        /// Its answer.
+        /// The answer to the job.
         answer: FinalAnswer<R>,
     },
-    /// Do not start the attempt any more: its worker drains, or its client has disconnected. If no byte of it has been
-    /// written it ends as [`Outcome::NotSent`](crate::Outcome::NotSent); otherwise this changes nothing.
+    /// Cancel an attempt unless it has started, because its worker drains or has been removed, its endpoint
+    /// list has become stale, or its client has disconnected. If no byte of the attempt has been written, the
+    /// attempt ends as [`Outcome::NotSent`](crate::Outcome::NotSent); otherwise this has no effect.
     CancelUnstarted {
         /// The job of the attempt.
         job_id: J,
         /// The number of the attempt.
         attempt: u32,
     },
-    /// Ask a worker for its load. One [`Input::ProbeCompleted`](crate::Input::ProbeCompleted) must follow.
+    /// Request a load report from a worker. One [`Input::ProbeCompleted`](crate::Input::ProbeCompleted) must
+    /// follow.
     Probe {
         /// The number of the worker.
         worker: u32,
     },
-    /// Request the endpoint list and all changes to it. They come as [`Input::WorkerList`](crate::Input::WorkerList), with
-    /// [`ListKind::Failed`](crate::ListKind::Failed) if the request failed or the watch has ended.
+    /// Request the endpoint list and watch it for changes. Lists and changes arrive as
+    /// [`Input::WorkerList`](crate::Input::WorkerList), with [`ListKind::Failed`](crate::ListKind::Failed) if
+    /// the request failed or the watch has ended.
     Subscribe,
 }
--- a/crates/engine/src/worker_registry.rs
+++ b/crates/engine/src/worker_registry.rs
@@ -1,4 +1,4 @@
-//! The workers that have been listed, by name and by the numbers that the dispatcher uses.
+//! The workers that have ever been listed, indexed by name and by the number that the dispatcher uses.
 
 use std::collections::HashMap;
 
@@ -6,20 +6,20 @@
 
 use crate::input::Endpoint;
 
-/// What the engine knows of a worker.
+/// A worker that has been on an endpoint list.
 #[derive(Debug)]
 pub struct KnownWorker<A> {
     /// The worker's permanent name.
     pub name: String,
-    /// How the host reaches the worker, as last listed.
+    /// The address by which the host reaches the worker, as last listed.
     pub address: A,
-    /// The worker as the dispatcher was given it last.
+    /// The worker's entry as last passed to the dispatcher.
     pub(crate) entry: WorkerEntry,
-    /// The worker is on the list and not draining.
+    /// The worker is on the current endpoint list and not draining.
     pub(crate) is_ready: bool,
 }
 
-/// All workers that have ever been listed. A worker keeps its number as long as the engine lives.
+/// All workers that have ever been listed. A worker keeps its number for the lifetime of the engine.
 pub(crate) struct WorkerRegistry<A> {
     workers: Vec<KnownWorker<A>>,
     numbers: HashMap<String, u32>,
@@ -41,7 +41,8 @@
         self.numbers.get(name).copied()
     }
 
-    /// Records an entry of an endpoint list and returns it as the dispatcher takes it. A new name gets the next number.
+    /// Records an entry of an endpoint list and returns it in the dispatcher's form. A new name gets the next
+    /// number.
     pub(crate) fn update(&mut self, endpoint: Endpoint<A>) -> WorkerEntry {
         let Endpoint { name, address, zone, kind, cell, status, registered_size, started_at } = endpoint;
         let number = self.number(&name).unwrap_or(self.workers.len() as u32);
@@ -70,7 +71,7 @@
         entry
     }
 
-    /// Marks all workers as gone until they are listed again.
+    /// Marks all workers as not ready until they are listed again.
     pub(crate) fn mark_all_unlisted(&mut self) {
         for known in &mut self.workers {
             known.is_ready = false;
