--- a/crates/engine/src/permits.rs
+++ b/crates/engine/src/permits.rs
@@ -1,13 +1,13 @@
-//! The one place that decides whether an attempt may start, bytes may be written, a request may be rejected or
-//! admitted, or a connection may be closed.
+//! The only place that decides whether an attempt may start, bytes may be written, a request may be rejected
+//! or admitted, or a connection may be closed.
 //!
-//! Each function takes the facts as they are known at that moment and returns a [`Permit`], which only this module can
-//! create, or the [`Denial`] that gives the reason. The functions do no I/O and read no clock. Where a host checks with
-//! its own clock, times are of any ordered type.
+//! Each check takes the facts that are known at that moment and returns a [`Permit`], which only this module
+//! can create, or the [`Denial`] that states the reason. The checks do no I/O and read no clock. Checks that
+//! a host makes on its own clock accept times of any ordered type.
 //!
-//! The dispatcher decides by the same rules. Checking them again when an attempt is ordered and before its first byte
-//! keeps a rule where something happened in between, and uncovers faults: an order that is denied, or a broken rule that
-//! is found later, is a [`Violation`].
+//! The dispatcher decides by the same rules. They are checked again when an attempt is started and before its
+//! bytes are written, for two reasons: the facts may have changed in between, and a fault of the dispatcher
+//! or the host must be found. A denied start, or a broken rule that is found later, is a [`Violation`].
 
 use std::fmt;
 
@@ -18,33 +18,34 @@
 pub enum Denial {
     /// The attempt was cancelled.
     Cancelled,
-    /// The attempt has not started, and its worker is draining or its client has disconnected.
+    /// The attempt was cancelled before it started: its worker is draining, its endpoint list is stale or its
+    /// client has disconnected.
     CancelledUnstarted,
     /// The client has closed its connection.
     ClientDisconnected,
     /// The client's deadline has passed.
     DeadlineExceeded,
-    /// Workers deduplicate a retry for a limited time only, and that time has passed.
+    /// The time for which workers deduplicate a retry has passed.
     DeduplicationWindowExpired,
-    /// The rules by which the attempt was decided are not valid any more.
+    /// The rules by which the attempt was decided have expired.
     RulesExpired,
-    /// The remaining time that the request's headers state was read too long ago.
+    /// The remaining time stated in the request's headers was computed too long ago.
     HeadersOutdated,
-    /// The worker is not in the deduplication scope of the earlier attempts.
+    /// The worker is outside the deduplication scope of the earlier attempts.
     OutsideDeduplicationScope,
     /// An earlier attempt may have run, and the request must not run twice.
     MayHaveRun,
-    /// Another attempt is in flight, and concurrent attempts are not allowed.
+    /// Another attempt is in flight, and hedged requests are not allowed.
     AttemptInFlight,
-    /// The worker is draining or is on no endpoint list.
+    /// The worker is draining or not on the endpoint list.
     WorkerUnavailable,
-    /// All attempts that the settings allow have been made.
+    /// The request has used all the attempts that the settings allow.
     AttemptsExhausted,
-    /// A request has been read that has no response yet.
+    /// A request that was read has no response yet.
     ResponsePending,
-    /// Part of a response is not written yet.
+    /// Part of a response has not been written yet.
     ResponseUnwritten,
-    /// The program shuts down, and whatever it admits now would be answered too late.
+    /// The program shuts down, and a request that is admitted now would be answered too late.
     ShutDown,
 }
 
@@ -68,7 +69,8 @@
         Denial::ShutDown,
     ];
 
-    /// Returns the name used in logs and counters. Alerts depend on these texts, so they stay when a variant is renamed.
+    /// Returns the name used in logs and counters. Alerts depend on these texts, so they stay when a variant
+    /// is renamed.
     pub fn name(self) -> &'static str {
         match self {
             Denial::Cancelled => "cancelled",
@@ -96,16 +98,16 @@
     }
 }
 
-/// The operation during which a rule was found broken.
+/// The operation during which a violation was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Operation {
-    /// The dispatcher ordered an attempt that must not be made.
+    /// The dispatcher decided on an attempt that must not start.
     Attempt,
-    /// A byte of an attempt was written that must not be.
+    /// A byte of an attempt was written that must not be written any more.
     Write,
-    /// A request that may have run was to be rejected.
+    /// A request was to be rejected although it may have run.
     Reject,
-    /// A connection was closed whose client had a response to come.
+    /// A connection was closed while its client still awaited a response.
     Close,
 }
 
@@ -114,7 +116,8 @@
     pub const ALL: [Operation; 4] =
         [Operation::Attempt, Operation::Write, Operation::Reject, Operation::Close];
 
-    /// Returns the name used in logs and counters. Alerts depend on these texts, so they stay when a variant is renamed.
+    /// Returns the name used in logs and counters. Alerts depend on these texts, so they stay when a variant
+    /// is renamed.
     pub fn name(self) -> &'static str {
         match self {
             Operation::Attempt => "attempt",
@@ -125,21 +128,21 @@
     }
 }
 
-/// A rule that was broken, or would have been without the check: a fault of this program.
+/// A rule that was broken, or would have been broken without a check. It is a fault of this program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// What was being done.
+    /// The operation that breaks the rule.
     pub operation: Operation,
-    /// Why it must not be done.
+    /// The reason why the operation is not permitted.
     pub denial: Denial,
 }
 
-/// Permission to do one thing now. Only this module creates one.
+/// Permission to perform one operation now. Only this module creates permits.
 #[derive(Debug)]
 pub struct Permit<T>(T);
 
 impl<T> Permit<T> {
-    /// Returns what the permit was granted for.
+    /// Returns the value that the permit was granted for.
     pub fn into_inner(self) -> T {
         self.0
     }
@@ -152,37 +155,37 @@
     pub worker: WorkerEntry,
     /// When the attempt was decided (ns on the engine's clock).
     pub decided_at: Nanos,
-    /// The attempt has not ended yet.
+    /// The host has not reported the attempt's end yet.
     pub in_flight: bool,
-    /// Nothing has proved that the attempt never ran.
+    /// The attempt may have run: no outcome has proved that it did not.
     pub may_have_run: bool,
 }
 
-/// The facts on which the start of an attempt is decided.
+/// The facts by which [`check_attempt`] decides.
 pub struct AttemptFacts<'a> {
     /// The current time (ns on the engine's clock).
     pub now: Nanos,
     /// The class of the request.
     pub class: &'a Class,
-    /// The time within which a connection to a worker is established (ns).
+    /// The time after which an attempt to connect to a worker fails (ns).
     pub connect_timeout: Nanos,
     /// The largest number of attempts of one request.
     pub max_attempts: u32,
-    /// Two attempts of a request may be in flight together.
+    /// Two attempts of a request may be in flight at the same time.
     pub allows_hedging: bool,
-    /// The request's attempts so far.
+    /// The request's earlier attempts, in their order.
     pub earlier: &'a [EarlierAttempt],
-    /// The worker as it is listed now.
+    /// The worker's current entry on the endpoint list.
     pub worker: &'a WorkerEntry,
     /// The worker is on the endpoint list and not draining.
     pub worker_is_ready: bool,
 }
 
-/// Decides whether an attempt may be ordered now.
+/// Decides whether an attempt may start now.
 ///
 /// # Errors
 ///
-/// Returns the reason why the attempt must not be made.
+/// Returns the reason why the attempt must not start.
 pub fn check_attempt(facts: &AttemptFacts) -> Result<Permit<()>, Denial> {
     if !facts.worker_is_ready {
         return Err(Denial::WorkerUnavailable);
@@ -209,7 +212,7 @@
     }
 }
 
-/// Decides whether a request may be rejected, which promises the client that a retry is harmless.
+/// Decides whether a request may be rejected, which tells the client that a retry is harmless.
 ///
 /// # Errors
 ///
@@ -226,43 +229,46 @@
     }
 }
 
-/// How far an attempt may still proceed. The order is that of severity.
+/// Whether an attempt has been told to stop, and under which condition. Levels are in ascending order of
+/// severity.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub enum StopLevel {
     /// The attempt proceeds.
     Continue,
-    /// The attempt must not start any more. Once a byte of it has been written it proceeds.
+    /// The attempt stops unless a byte of it has been written.
     IfUnstarted,
-    /// The attempt stops at once.
+    /// The attempt stops immediately.
     Immediate,
 }
 
-/// The facts on which the write of a byte of an attempt is decided, just before it is passed to the kernel.
+/// The facts by which [`check_write`] decides, collected just before the bytes are passed to the kernel.
 pub struct WriteFacts<T> {
     /// The current time.
     pub now: T,
-    /// Bytes of the attempt have been written already.
+    /// At least one byte of the attempt has been written.
     pub started: bool,
-    /// How far the attempt may still proceed.
+    /// Whether the attempt has been told to stop.
     pub stop: StopLevel,
-    /// The client's connection was checked just now, and the client has closed it.
+    /// A check of the client's connection just now found that the client has closed it.
     pub client_disconnected: bool,
     /// When the client gives up.
     pub deadline: T,
-    /// When a retry ceases to be deduplicated; `None` where nothing bounds it.
+    /// When workers cease to deduplicate the attempt as a retry; `None` where there is no limit.
     pub resend_deadline: Option<T>,
-    /// Until when the rules by which the attempt was decided are valid.
+    /// When the rules by which the attempt was decided expire; `None` where there are no rules.
     pub rules_valid_until: Option<T>,
-    /// Until when the remaining time that the request's headers state is accurate enough.
+    /// Until when the remaining time stated in the request's headers is accurate enough.
     pub headers_valid_until: T,
 }
 
-/// Decides whether a byte of an attempt may be written now. An attempt that has started may go on, but not beyond its
-/// resend deadline or the validity of its rules: it has not run as long as its last byte has not been written.
+/// Decides whether a byte of an attempt may be written now. An attempt that has started may continue until
+/// its resend deadline or the expiry of its rules. It can still be stopped then, because a worker does not
+/// run a request before its last byte has arrived.
 ///
 /// # Errors
 ///
-/// Returns the reason why no byte may be written. Of several reasons it is one that also stops what has started.
+/// Returns the reason why no byte may be written. If there are several, a reason that also stops a started
+/// attempt takes precedence.
 pub fn check_write<T: PartialOrd + Copy>(facts: &WriteFacts<T>) -> Result<Permit<()>, Denial> {
     let has_passed = |until: Option<T>| until.is_some_and(|until| until <= facts.now);
     let unstarted = !facts.started;
@@ -281,14 +287,14 @@
     }
 }
 
-/// The facts on which it is decided whether this side may close a client's connection.
+/// The facts by which [`check_close`] decides whether this side may close a client's connection.
 #[derive(Clone, Copy, Debug)]
 pub struct CloseFacts {
-    /// A complete request has been read that has no response yet.
+    /// A complete request was read and has no response yet.
     pub has_unanswered_request: bool,
-    /// Part of a request has been read, and no response to it is written with the close.
+    /// Part of a request was read, and no response to it is written as the connection closes.
     pub has_partial_request: bool,
-    /// Part of a response is not written yet, and the client still reads it.
+    /// Part of a response has not been written yet, and the client is still reading it.
     pub has_unwritten_response: bool,
     /// The client has closed the connection.
     pub client_disconnected: bool,
@@ -298,7 +304,8 @@
 ///
 /// # Errors
 ///
-/// Returns which response the client is still to receive.
+/// Returns [`Denial::ResponsePending`] or [`Denial::ResponseUnwritten`] if the client still awaits a
+/// response.
 pub fn check_close(facts: CloseFacts) -> Result<Permit<()>, Denial> {
     if facts.client_disconnected {
         return Ok(Permit(()));
@@ -312,12 +319,12 @@
     Ok(Permit(()))
 }
 
-/// Decides whether a request that was read now may be admitted. `answered_by` is the time by which a shutdown answers
-/// everything; `None` while no shutdown has begun.
+/// Decides whether a request that was read at `now` may be admitted. `answered_by` is the time by which a
+/// shutdown answers all requests; `None` while no shutdown has begun.
 ///
 /// # Errors
 ///
-/// Returns [`Denial::ShutDown`] once the shutdown has answered everything.
+/// Returns [`Denial::ShutDown`] once that time has come.
 pub fn check_admission<T: PartialOrd>(now: T, answered_by: Option<T>) -> Result<Permit<()>, Denial> {
     if answered_by.is_some_and(|by| by <= now) {
         Err(Denial::ShutDown)
