--- a/crates/engine/tests/windows.rs
+++ b/crates/engine/tests/deduplication_window.rs
@@ -1,6 +1,7 @@
-//! Retries of idempotent jobs with a key, checked against the deduplication window of the workers in virtual time. The host
-//! stands for everything between a decision and the arrival of the last byte at a worker: a queue, a permit, a late
-//! connect, a stalled process, a partial write, the network. It obeys the outputs and nothing else.
+//! Checks in virtual time that retries of idempotent jobs with a key arrive within the deduplication window
+//! of the workers. The host simulates every delay between a decision and the arrival of the last byte at a
+//! worker: queueing, the wait for a permit, a slow connect, a stalled process, a partial write and the
+//! network. It follows only the engine's outputs.
 
 use std::cell::Cell;
 
@@ -52,8 +53,8 @@
     }
 }
 
-/// Returns an endpoint list. With a `shift` the zone and cell under each name change, as where another worker takes a
-/// name over.
+/// Returns an endpoint list. A `shift` other than 0 changes the zone and cell of each name, as happens when
+/// another worker takes over the name.
 fn endpoints(shift: u32) -> Vec<Endpoint<()>> {
     let endpoint = |n: u32| Endpoint {
         name: format!("i{n}"),
@@ -68,13 +69,13 @@
     (0..6).map(endpoint).collect()
 }
 
-/// The delays between a decision and the end at the worker, each in thousandths of its longest time.
+/// The delays between a decision and the end of the attempt, each in thousandths of its maximum.
 #[derive(Clone, Debug)]
 struct Delays {
     permit: u64,
     connect: u64,
     stall: u64,
-    travel: u64,
+    transit: u64,
     run: u64,
     /// The index of the outcome among the [`OUTCOMES`].
     outcome: usize,
@@ -82,11 +83,11 @@
 
 fn delays() -> impl Strategy<Value = Delays> {
     (0..1_000u64, 0..1_000u64, 0..1_000u64, 0..1_000u64, 0..1_000u64, 0..5usize).prop_map(
-        |(permit, connect, stall, travel, run, outcome)| Delays {
+        |(permit, connect, stall, transit, run, outcome)| Delays {
             permit,
             connect,
             stall,
-            travel,
+            transit,
             run,
             outcome,
         },
@@ -96,7 +97,7 @@
 const OUTCOMES: [Outcome; 5] =
     [Outcome::Reset, Outcome::Error, Outcome::ConnectFailed, Outcome::Reset, Outcome::Timeout];
 
-/// An attempt whose last byte has arrived at a worker.
+/// The arrival of an attempt's last byte at a worker.
 struct Arrival {
     at: Nanos,
     zone: u32,
@@ -104,27 +105,27 @@
     attempt: u32,
 }
 
-/// The parameters of one run.
+/// The parameters of a run.
 #[derive(Clone, Copy, Debug)]
 struct Parameters {
     window: Nanos,
     connect_timeout: Nanos,
     scope: DeduplicationScope,
-    /// When the zones and cells shift, after the job came.
+    /// The time (ns) from the job's arrival until the zones and cells shift; `None` if they never do.
     shift_after: Option<Nanos>,
 }
 
-const JOB_AT: Nanos = 2 * S;
-const END_AT: Nanos = 70 * S;
+const JOB_ARRIVES_AT: Nanos = 2 * S;
+const RUN_ENDS_AT: Nanos = 70 * S;
 
 type TestInput = Input<u32, (), ()>;
 
-/// A host in virtual time with one job.
+/// A host in virtual time that submits one job.
 struct Host {
     parameters: Parameters,
     engine: Engine<u32, (), ()>,
     now: Nanos,
-    /// The inputs to come, with their times.
+    /// The scheduled inputs and their times.
     pending: Vec<(Nanos, TestInput)>,
     arrivals: Vec<Arrival>,
 }
@@ -132,7 +133,7 @@
 impl Host {
     fn new(parameters: Parameters) -> Host {
         let Parameters { window, connect_timeout, scope, shift_after } = parameters;
-        let engine = Engine::new(settings(window, connect_timeout, scope), 7).expect("settings");
+        let engine = Engine::new(settings(window, connect_timeout, scope), 7).expect("valid settings");
         let list = |shift| Input::WorkerList { kind: ListKind::Complete, workers: endpoints(shift) };
         let job = Job {
             class: 0,
@@ -143,17 +144,17 @@
             is_retry: false,
             deadline: 60 * S,
         };
-        let mut pending = vec![(S, list(0)), (JOB_AT, Input::Job { job_id: 1, job })];
-        pending.extend(shift_after.map(|after| (JOB_AT + after, list(1))));
+        let mut pending = vec![(S, list(0)), (JOB_ARRIVES_AT, Input::Job { job_id: 1, job })];
+        pending.extend(shift_after.map(|after| (JOB_ARRIVES_AT + after, list(1))));
         Host { parameters, engine, now: S, pending, arrivals: vec![] }
     }
 
-    /// Runs until the end, or until there is an attempt more than there are delays.
+    /// Runs until the end, or until an attempt starts for which no delays are left. Returns the arrivals.
     fn run(mut self, delays: &[Delays]) -> Vec<Arrival> {
         let mut delays = delays.iter();
         while let Some(input) = self.next_input() {
             let mut outputs = vec![];
-            self.engine.handle(self.now, input, &mut outputs).expect("a possible input");
+            self.engine.handle(self.now, input, &mut outputs).expect("the input is accepted");
             for output in outputs {
                 match output {
                     Output::Probe { worker } => self.complete_probe(worker),
@@ -171,7 +172,8 @@
         self.arrivals
     }
 
-    /// Moves the time to the earliest input and returns it; of inputs at the same time a wake comes last.
+    /// Advances the time to the earliest input and returns that input. A wake comes after other inputs at the
+    /// same time.
     fn next_input(&mut self) -> Option<TestInput> {
         let earliest = self.pending.iter().enumerate().map(|(index, (at, _))| (*at, index)).min();
         let wake_at = self.engine.next_wake();
@@ -181,7 +183,7 @@
             (_, None) => false,
         };
         let at = if is_wake { wake_at } else { earliest.map(|(at, _)| at) };
-        let at = at.filter(|at| *at < END_AT)?;
+        let at = at.filter(|at| *at < RUN_ENDS_AT)?;
         self.now = self.now.max(at);
         if is_wake {
             return Some(Input::Wake);
@@ -198,23 +200,24 @@
 
     fn start_attempt(&mut self, start: &StartAttempt<u32>, delays: &Delays) {
         let Parameters { window, connect_timeout, shift_after, .. } = self.parameters;
-        let delay = |thousandths: u64, longest: Nanos| longest / 1_000 * thousandths;
-        // The first byte is written after these, unless it is too late by then.
+        let delay = |thousandths: u64, maximum: Nanos| maximum / 1_000 * thousandths;
+        // The first byte is written after these delays, unless it is too late by then.
         let written_at = self.now
             + delay(delays.permit, connect_timeout)
             + delay(delays.connect, connect_timeout)
             + delay(delays.stall, 300 * MS);
-        // A margin is left for the network: the last byte travels as long as a connect takes at most.
-        let arrived_at = written_at + delay(delays.travel, connect_timeout.min(window / 4));
+        // The engine leaves a margin for the network: the last byte may be in transit for as long as a
+        // connect may take, up to a quarter of the window.
+        let arrived_at = written_at + delay(delays.transit, connect_timeout.min(window / 4));
         let ended_at = arrived_at + delay(delays.run, window / 2);
-        let give_up_at = start.send_by.min(start.deadline);
+        let abandoned_at = start.send_by.min(start.deadline);
         let outcome = OUTCOMES[delays.outcome];
-        let (at, outcome) = if written_at >= give_up_at {
-            (give_up_at.max(self.now), Outcome::NotSent)
+        let (at, outcome) = if written_at >= abandoned_at {
+            (abandoned_at.max(self.now), Outcome::NotSent)
         } else if outcome == Outcome::ConnectFailed {
             (written_at, outcome)
         } else {
-            let has_shifted = shift_after.is_some_and(|after| JOB_AT + after <= self.now);
+            let has_shifted = shift_after.is_some_and(|after| JOB_ARRIVES_AT + after <= self.now);
             let worker = &endpoints(u32::from(has_shifted))[start.worker as usize];
             let Endpoint { zone, cell, .. } = *worker;
             self.arrivals.push(Arrival { at: arrived_at, zone, cell, attempt: start.attempt });
@@ -226,7 +229,7 @@
     }
 }
 
-/// Returns whether a worker deduplicates what has arrived at another.
+/// Returns whether the worker of `retry` deduplicates it with the attempt that arrived as `first`.
 fn is_in_scope(scope: DeduplicationScope, first: &Arrival, retry: &Arrival) -> bool {
     match scope {
         DeduplicationScope::All => true,
@@ -268,18 +271,22 @@
             let arrivals = Host::new(parameters).run(&delays);
             let Some((first, rest)) = arrivals.split_first() else { return Ok(()) };
             for retry in rest {
-                let share = (retry.at - first.at) as f64 / parameters.window as f64;
-                prop_assert!(share < 1.0, "attempt {} after {share} of the window", retry.attempt);
-                let in_scope = is_in_scope(parameters.scope, first, retry);
-                prop_assert!(in_scope, "attempt {} left the scope", retry.attempt);
+                let window_share = (retry.at - first.at) as f64 / parameters.window as f64;
+                prop_assert!(
+                    window_share < 1.0,
+                    "attempt {} arrived after {window_share} of the window",
+                    retry.attempt
+                );
+                let arrived_in_scope = is_in_scope(parameters.scope, first, retry);
+                prop_assert!(arrived_in_scope, "attempt {} arrived outside the scope", retry.attempt);
                 retries.set(retries.get() + 1);
-                latest.set(latest.get().max(share));
+                latest.set(latest.get().max(window_share));
             }
             Ok(())
         })
         .unwrap_or_else(|e| panic!("{e}"));
     let (retries, latest) = (retries.get(), latest.get());
     println!("{retries} retries, the latest after {latest:.3} of its window");
-    assert!(retries > 1_000, "only {retries} retries: too few to show anything");
-    assert!(latest > 0.5, "no retry comes late in its window: {latest}");
+    assert!(retries > 1_000, "only {retries} retries: too few for a meaningful check");
+    assert!(latest > 0.5, "no retry arrives late in its window: {latest}");
 }
--- a/crates/engine/tests/promises.rs
+++ b/crates/engine/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! The engine's guarantees, checked against random hosts that report late, twice, out of order or never.
+//! Checks the engine's guarantees with random hosts that report events late, twice, out of order or never.
 
 use std::collections::{HashMap, HashSet};
 
@@ -79,7 +79,7 @@
     Some(LoadReport { free_slots: Some(free), ..LoadReport::default() })
 }
 
-/// The host's view of a job.
+/// A job as the host knows it.
 struct SubmittedJob {
     deadline: Nanos,
     answers: u32,
@@ -105,33 +105,34 @@
 const FIRST_ATTEMPT: AttemptId = AttemptId { job: 1, attempt: 0 };
 const SECOND_ATTEMPT: AttemptId = AttemptId { job: 1, attempt: 1 };
 
-/// A host that checks every output against what it has seen.
+/// A host that checks every output against the inputs and outputs before it.
 struct Host {
     engine: TestEngine,
     now: Nanos,
     jobs: HashMap<u16, SubmittedJob>,
     in_flight: Vec<AttemptId>,
-    attempts: HashMap<u16, u32>,
+    /// The number of attempts started for each job.
+    attempt_counts: HashMap<u16, u32>,
     cancelled: HashSet<AttemptId>,
-    /// The workers with a probe in flight.
-    probes: Vec<u32>,
+    /// The workers of the probes in flight.
+    probed_workers: Vec<u32>,
     max_attempts: u32,
 }
 
 impl Host {
     fn new(idempotency: Idempotency) -> Host {
         let mut host = Host {
-            engine: Engine::new(settings(idempotency), 5).expect("sound settings"),
+            engine: Engine::new(settings(idempotency), 5).expect("valid settings"),
             now: 1_000 * MS,
             jobs: HashMap::new(),
             in_flight: vec![],
-            attempts: HashMap::new(),
+            attempt_counts: HashMap::new(),
             cancelled: HashSet::new(),
-            probes: vec![],
+            probed_workers: vec![],
             max_attempts: 3,
         };
         let workers = (0..4).map(|n| endpoint(n, WorkerStatus::Ready)).collect();
-        host.handle(Input::WorkerList { kind: ListKind::Complete, workers }).expect("a list");
+        host.handle(Input::WorkerList { kind: ListKind::Complete, workers }).expect("the list is accepted");
         host
     }
 
@@ -151,47 +152,50 @@
             Output::StartAttempt(start) => self.check_start(&start),
             Output::Cancel { job_id: id, attempt } => {
                 let cancelled = AttemptId { job: id, attempt };
-                assert!(self.in_flight.contains(&cancelled), "a cancellation of what is not in flight");
-                assert!(self.cancelled.insert(cancelled), "a second cancellation");
+                assert!(self.in_flight.contains(&cancelled), "cancelled an attempt that is not in flight");
+                assert!(self.cancelled.insert(cancelled), "cancelled an attempt twice");
             }
             Output::CancelUnstarted { job_id: id, attempt } => {
-                let withdrawn = AttemptId { job: id, attempt };
-                assert!(self.in_flight.contains(&withdrawn), "a withdrawal of what is not in flight");
+                let cancelled = AttemptId { job: id, attempt };
+                assert!(
+                    self.in_flight.contains(&cancelled),
+                    "cancelled an unstarted attempt that is not in flight"
+                );
             }
             Output::FinalAnswer { job_id: id, .. } => {
-                let job = self.jobs.get_mut(&id).expect("a job");
-                assert!(!job.client_disconnected, "an answer to nobody");
+                let job = self.jobs.get_mut(&id).expect("the job was submitted");
+                assert!(!job.client_disconnected, "answered a job whose client has disconnected");
                 job.answers += 1;
-                assert_eq!(job.answers, 1, "a second answer");
-                assert!(self.now <= job.deadline + 2 * MS, "a late answer");
+                assert_eq!(job.answers, 1, "answered a job twice");
+                assert!(self.now <= job.deadline + 2 * MS, "answered a job after its deadline");
             }
-            Output::Probe { worker } => self.probes.push(worker),
+            Output::Probe { worker } => self.probed_workers.push(worker),
             Output::Subscribe => {}
         }
     }
 
     fn check_start(&mut self, start: &StartAttempt<u16>) {
         let job = &self.jobs[&start.job_id];
-        assert!(job.is_open(), "an attempt for a job that is finished");
+        assert!(job.is_open(), "started an attempt of a finished job");
         assert!(start.deadline > self.now && start.deadline <= job.deadline);
         assert!(self.engine.worker(start.worker).is_some());
-        let next = self.attempts.entry(start.job_id).or_default();
-        assert_eq!(start.attempt, *next);
-        *next += 1;
-        assert!(*next <= self.max_attempts);
+        let attempt_count = self.attempt_counts.entry(start.job_id).or_default();
+        assert_eq!(start.attempt, *attempt_count);
+        *attempt_count += 1;
+        assert!(*attempt_count <= self.max_attempts);
         self.in_flight.push(AttemptId { job: start.job_id, attempt: start.attempt });
     }
 
-    /// Lets time pass, with all wakes that come due.
+    /// Advances the time and passes all wakes that come due.
     fn advance_to(&mut self, to: Nanos) {
         while let Some(at) = self.engine.next_wake().filter(|at| *at <= to) {
             self.now = self.now.max(at);
-            self.handle(Input::Wake).expect("a wake");
+            self.handle(Input::Wake).expect("the wake is accepted");
         }
         self.now = to;
     }
 
-    /// Ends one of the attempts in flight; `pick` selects it.
+    /// Ends the attempt in flight that `pick` selects.
     fn end_attempt(&mut self, pick: usize, outcome: Outcome) {
         if self.in_flight.is_empty() {
             return;
@@ -199,66 +203,67 @@
         let AttemptId { job: id, attempt } = self.in_flight.swap_remove(pick % self.in_flight.len());
         let result = (outcome == Outcome::Ok).then_some(7);
         let result = AttemptResult { outcome, result, report: None };
-        self.handle(Input::AttemptEnded { job_id: id, attempt, result }).expect("its end");
-        // Reporting the same end once more is a fault of the host and changes nothing.
-        let again = AttemptResult { outcome: Outcome::Ok, result: Some(8), report: None };
-        let refused = self.handle(Input::AttemptEnded { job_id: id, attempt, result: again });
-        assert_eq!(refused, Err(EngineError::AttemptNotInFlight));
+        self.handle(Input::AttemptEnded { job_id: id, attempt, result })
+            .expect("the attempt's end is accepted");
+        // Reporting the same end again is a fault of the host and changes nothing.
+        let repeated_result = AttemptResult { outcome: Outcome::Ok, result: Some(8), report: None };
+        let repeated = self.handle(Input::AttemptEnded { job_id: id, attempt, result: repeated_result });
+        assert_eq!(repeated, Err(EngineError::AttemptNotInFlight));
     }
 
-    /// Returns one of the attempts in flight; `pick` selects it.
+    /// Returns the attempt in flight that `pick` selects, if there is any.
     fn pick_in_flight(&self, pick: usize) -> Option<AttemptId> {
         let index = pick.checked_rem(self.in_flight.len())?;
         Some(self.in_flight[index])
     }
 
     fn submit(&mut self, id: u16, deadline: Nanos) {
-        if let Some(known) = self.jobs.get(&id) {
-            if known.is_open() || self.in_flight.iter().any(|attempt| attempt.job == id) {
-                let again = Input::Job { job_id: id, job: job(deadline) };
-                assert_eq!(self.handle(again), Err(EngineError::DuplicateJob));
+        if let Some(submitted) = self.jobs.get(&id) {
+            if submitted.is_open() || self.in_flight.iter().any(|attempt| attempt.job == id) {
+                let repeated = Input::Job { job_id: id, job: job(deadline) };
+                assert_eq!(self.handle(repeated), Err(EngineError::DuplicateJob));
             }
             return;
         }
         self.jobs.insert(id, SubmittedJob::new(deadline));
-        self.handle(Input::Job { job_id: id, job: job(deadline) }).expect("a new job");
+        self.handle(Input::Job { job_id: id, job: job(deadline) }).expect("the new job is accepted");
     }
 
-    fn stream(&mut self, AttemptId { job: id, attempt }: AttemptId) {
-        let job = self.jobs.get_mut(&id).expect("a job");
-        // From here on it has no deadline.
+    fn start_streaming(&mut self, AttemptId { job: id, attempt }: AttemptId) {
+        let job = self.jobs.get_mut(&id).expect("the job was submitted");
+        // A job whose answer is streamed has no deadline any more.
         if job.answers == 0 {
             job.deadline = Nanos::MAX / 2;
         }
-        self.handle(Input::Streaming { job_id: id, attempt }).expect("a stream");
+        self.handle(Input::Streaming { job_id: id, attempt }).expect("the streaming input is accepted");
     }
 
     fn disconnect_client(&mut self, id: u16) {
         if let Some(job) = self.jobs.get_mut(&id).filter(|job| job.answers == 0) {
             job.client_disconnected = true;
         }
-        self.handle(Input::ClientDisconnected { job_id: id }).expect("a client that disconnects");
+        self.handle(Input::ClientDisconnected { job_id: id }).expect("the disconnection is accepted");
     }
 
     fn complete_probe(&mut self, free_slots: u8) {
-        let Some(worker) = self.probes.pop() else { return };
+        let Some(worker) = self.probed_workers.pop() else { return };
         let outcome = if free_slots == 5 { Outcome::Timeout } else { Outcome::Ok };
         let report = report(f64::from(free_slots));
-        self.handle(Input::ProbeCompleted { worker, outcome, report }).expect("a probe's end");
+        self.handle(Input::ProbeCompleted { worker, outcome, report }).expect("the probe result is accepted");
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         match step {
             Step::Job { id, time_left_ms } => self.submit(id, self.now + time_left_ms * MS),
             Step::EndAttempt { pick, outcome } => self.end_attempt(pick, outcome),
             Step::Progress { pick } => {
                 if let Some(AttemptId { job: id, attempt }) = self.pick_in_flight(pick) {
-                    self.handle(Input::Progress { job_id: id, attempt }).expect("progress");
+                    self.handle(Input::Progress { job_id: id, attempt }).expect("the progress is accepted");
                 }
             }
             Step::Stream { pick } => {
                 if let Some(attempt) = self.pick_in_flight(pick) {
-                    self.stream(attempt);
+                    self.start_streaming(attempt);
                 }
             }
             Step::ClientDisconnects { id } => self.disconnect_client(id),
@@ -266,16 +271,18 @@
             Step::Advance { ms } => self.advance_to(self.now + ms * MS),
             Step::ListWorker { number, status } => {
                 let workers = vec![endpoint(number, status)];
-                self.handle(Input::WorkerList { kind: ListKind::Changes, workers }).expect("changes");
+                self.handle(Input::WorkerList { kind: ListKind::Changes, workers })
+                    .expect("the changes are accepted");
             }
             Step::ShutDown => {
                 let deadline = self.now + 200 * MS;
-                self.handle(Input::Shutdown { deadline }).expect("a shutdown");
+                self.handle(Input::Shutdown { deadline }).expect("the shutdown is accepted");
             }
         }
     }
 }
 
+/// An event at the host.
 #[derive(Clone, Debug)]
 enum Step {
     Job { id: u16, time_left_ms: u64 },
@@ -341,15 +348,15 @@
     ) {
         let mut host = Host::new(idempotency);
         for step in steps {
-            host.play(step);
+            host.apply_step(step);
         }
         host.advance_to(host.now + 2_000 * MS);
         while !host.in_flight.is_empty() {
             host.end_attempt(0, Outcome::Timeout);
         }
         host.advance_to(host.now + 2_000 * MS);
-        let has_one_end = |job: &SubmittedJob| job.answers + u32::from(job.client_disconnected) == 1;
-        prop_assert!(host.jobs.values().all(has_one_end));
+        let has_ended_once = |job: &SubmittedJob| job.answers + u32::from(job.client_disconnected) == 1;
+        prop_assert!(host.jobs.values().all(has_ended_once));
         prop_assert_eq!(host.engine.open_job_count(), 0);
     }
 }
@@ -358,13 +365,13 @@
 fn host_with_attempt_in_flight() -> Host {
     let mut host = Host::new(Idempotency::Idempotent);
     host.advance_to(host.now + 100 * MS);
-    for worker in std::mem::take(&mut host.probes) {
+    for worker in std::mem::take(&mut host.probed_workers) {
         host.handle(Input::ProbeCompleted { worker, outcome: Outcome::Ok, report: report(4.0) })
-            .expect("a probe's end");
+            .expect("the probe result is accepted");
     }
     let deadline = host.now + 900 * MS;
     host.jobs.insert(1, SubmittedJob::new(deadline));
-    host.handle(Input::Job { job_id: 1, job: job(deadline) }).expect("a job");
+    host.handle(Input::Job { job_id: 1, job: job(deadline) }).expect("the job is accepted");
     assert_eq!(host.in_flight, [FIRST_ATTEMPT]);
     host
 }
@@ -373,47 +380,51 @@
 fn an_ok_without_a_result_does_not_answer_the_job() {
     let mut host = host_with_attempt_in_flight();
     host.in_flight.clear();
-    host.handle(Input::AttemptEnded { job_id: 1, attempt: 0, result: Outcome::Ok.into() }).expect("an end");
+    host.handle(Input::AttemptEnded { job_id: 1, attempt: 0, result: Outcome::Ok.into() })
+        .expect("the attempt's end is accepted");
     assert_eq!(host.jobs[&1].answers, 0);
-    assert_eq!(host.in_flight, [SECOND_ATTEMPT], "it is retried");
+    assert_eq!(host.in_flight, [SECOND_ATTEMPT], "the job is retried");
 }
 
 #[test]
 fn a_broken_stream_fails_its_job_at_once_and_is_not_retried() {
     let mut host = host_with_attempt_in_flight();
-    host.handle(Input::Streaming { job_id: 1, attempt: 0 }).expect("a stream");
-    host.jobs.get_mut(&1).expect("it").deadline = Nanos::MAX / 2;
+    host.handle(Input::Streaming { job_id: 1, attempt: 0 }).expect("the streaming input is accepted");
+    host.jobs.get_mut(&1).expect("job 1 was submitted").deadline = Nanos::MAX / 2;
     host.advance_to(host.now + 5_000 * MS);
-    assert_eq!(host.jobs[&1].answers, 0, "a stream has no deadline");
+    assert_eq!(host.jobs[&1].answers, 0, "a streamed answer has no deadline");
     let reset = Input::AttemptEnded { job_id: 1, attempt: 0, result: Outcome::Reset.into() };
     let mut outputs = vec![];
-    host.engine.handle(host.now, reset, &mut outputs).expect("an end");
+    host.engine.handle(host.now, reset, &mut outputs).expect("the attempt's end is accepted");
     assert_eq!(outputs.first(), Some(&Output::FinalAnswer { job_id: 1, answer: FinalAnswer::Failed }));
     assert_eq!(host.engine.open_job_count(), 0);
 }
 
 #[test]
-fn two_inputs_of_the_same_time_are_handled_in_order() {
+fn two_inputs_at_the_same_time_are_handled_in_order() {
     let mut host = host_with_attempt_in_flight();
-    // The result and the client's disconnection, at the same nanosecond: whichever is passed first counts.
+    // The result and the client's disconnection have the same time: the input that is passed first takes
+    // effect.
     let result = AttemptResult { outcome: Outcome::Ok, result: Some(3), report: None };
-    host.handle(Input::AttemptEnded { job_id: 1, attempt: 0, result }).expect("an end");
-    host.handle(Input::ClientDisconnected { job_id: 1 }).expect("ignored");
+    host.handle(Input::AttemptEnded { job_id: 1, attempt: 0, result })
+        .expect("the attempt's end is accepted");
+    host.handle(Input::ClientDisconnected { job_id: 1 })
+        .expect("the disconnection is ignored without an error");
     assert_eq!(host.jobs[&1].answers, 1);
 }
 
 #[test]
-fn a_clock_at_its_limits_neither_panics_nor_loses_a_job() {
+fn extreme_times_neither_cause_a_panic_nor_lose_a_job() {
     for start in [0, Nanos::MAX / 2, Nanos::MAX - 10_000 * MS] {
         let mut engine: TestEngine =
-            Engine::new(settings(Idempotency::Idempotent), 1).expect("sound settings");
+            Engine::new(settings(Idempotency::Idempotent), 1).expect("valid settings");
         let mut outputs = vec![];
         engine
             .handle(start, Input::Job { job_id: 1, job: job(start + 500 * MS) }, &mut outputs)
-            .expect("a job");
+            .expect("the job is accepted");
         while outputs.is_empty() {
-            let at = engine.next_wake().expect("it wakes until all is answered");
-            engine.handle(at, Input::Wake, &mut outputs).expect("a wake");
+            let at = engine.next_wake().expect("a wake is due until the job is answered");
+            engine.handle(at, Input::Wake, &mut outputs).expect("the wake is accepted");
         }
         assert!(matches!(outputs[..], [Output::FinalAnswer { job_id: 1, .. }]), "{outputs:?}");
     }
@@ -426,31 +437,40 @@
     assert_eq!(fnv1a_hash(b"foobar"), 0x8594_4171_f739_67e8);
 }
 
-/// Passes a list with one worker to an engine, and returns the jobs of the attempts that are withdrawn, in order.
-fn withdrawn_by_list(engine: &mut Engine<u64, (), ()>, kind: ListKind, status: WorkerStatus) -> Vec<u64> {
+/// Passes a list with one worker to an engine and returns the jobs whose unstarted attempts are cancelled, in
+/// order.
+fn jobs_cancelled_by_list(
+    engine: &mut Engine<u64, (), ()>,
+    kind: ListKind,
+    status: WorkerStatus,
+) -> Vec<u64> {
     let worker = Endpoint { name: "a".to_owned(), ..endpoint(0, status) };
     let mut outputs = Vec::new();
-    engine.handle(1, Input::WorkerList { kind, workers: vec![worker] }, &mut outputs).expect("a list");
-    let withdrawn = outputs.iter().filter_map(|output| match output {
+    engine
+        .handle(1, Input::WorkerList { kind, workers: vec![worker] }, &mut outputs)
+        .expect("the list is accepted");
+    let cancelled = outputs.iter().filter_map(|output| match output {
         Output::CancelUnstarted { job_id, .. } => Some(*job_id),
         _ => None,
     });
-    withdrawn.collect()
+    cancelled.collect()
 }
 
 #[test]
-fn withdrawals_come_in_the_order_of_their_jobs() {
+fn unstarted_attempts_are_cancelled_in_the_order_of_their_jobs() {
     let settings = Settings { can_probe: false, ..settings(Idempotency::Idempotent) };
-    let mut engine = Engine::new(settings, 1).expect("sound settings");
-    assert!(withdrawn_by_list(&mut engine, ListKind::Complete, WorkerStatus::Ready).is_empty());
+    let mut engine = Engine::new(settings, 1).expect("valid settings");
+    assert!(jobs_cancelled_by_list(&mut engine, ListKind::Complete, WorkerStatus::Ready).is_empty());
     let job = Job { slots: 0.01, key: None, ..job(1 << 40) };
     for id in 0..40 {
-        engine.handle(1, Input::Job { job_id: id, job: job.clone() }, &mut Vec::new()).expect("a job");
+        engine
+            .handle(1, Input::Job { job_id: id, job: job.clone() }, &mut Vec::new())
+            .expect("the job is accepted");
     }
-    let withdrawn = withdrawn_by_list(&mut engine, ListKind::Complete, WorkerStatus::Draining);
-    assert!(withdrawn.len() > 10 && withdrawn.is_sorted(), "{withdrawn:?}");
-    // A stale list withdraws the same; a failed request for the list withdraws nothing.
-    let by_stale_list = withdrawn_by_list(&mut engine, ListKind::Stale, WorkerStatus::Ready);
-    assert_eq!(by_stale_list, withdrawn);
-    assert!(withdrawn_by_list(&mut engine, ListKind::Failed, WorkerStatus::Ready).is_empty());
+    let cancelled = jobs_cancelled_by_list(&mut engine, ListKind::Complete, WorkerStatus::Draining);
+    assert!(cancelled.len() > 10 && cancelled.is_sorted(), "{cancelled:?}");
+    // A stale list cancels the same attempts; a failed request for the list cancels none.
+    let cancelled_by_stale_list = jobs_cancelled_by_list(&mut engine, ListKind::Stale, WorkerStatus::Ready);
+    assert_eq!(cancelled_by_stale_list, cancelled);
+    assert!(jobs_cancelled_by_list(&mut engine, ListKind::Failed, WorkerStatus::Ready).is_empty());
 }
