--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -58,6 +58,7 @@
     dispatcher: Dispatcher,
     /// The time of the last input.
     now: Nanos,
+    /// The dispatcher's id of each open job, by the host's id.
     request_ids: HashMap<J, RequestId>,
     open_jobs: HashMap<RequestId, OpenJob<J>>,
     permit_settings: PermitSettings,
@@ -76,7 +77,7 @@
 }
 
 impl<J: Clone + Eq + Hash, A, R> Engine<J, A, R> {
-    /// Creates an engine without workers. `seed` initializes its random choices.
+    /// Creates an engine without workers. `seed` initializes the dispatcher's random number generator.
     ///
     /// # Errors
     ///
