--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -281,8 +281,14 @@
             job.is_finished = true;
             self.outputs.push(Output::FinalAnswer { job_id: job.id.clone(), answer });
         }
-        let finished = job.is_finished;
-        self.dispatch(Event::AttemptEnded { request, attempt: attempt_number, outcome, finished, report });
+        let request_is_finished = job.is_finished;
+        self.dispatch(Event::AttemptEnded {
+            request,
+            attempt: attempt_number,
+            outcome,
+            request_is_finished,
+            report,
+        });
         self.remove_if_done(request);
         Ok(())
     }
@@ -345,7 +351,7 @@
                 request,
                 attempt: attempt_number,
                 outcome: Outcome::NotSent,
-                finished: job.is_finished,
+                request_is_finished: job.is_finished,
                 report: None,
             });
             return;
--- a/crates/engine/src/worker_registry.rs
+++ b/crates/engine/src/worker_registry.rs
@@ -53,8 +53,8 @@
             kind,
             cell,
             status,
-            weight: registered_size,
-            started: started_at,
+            registered_size,
+            started_at,
         };
         let is_ready = status == WorkerStatus::Ready;
         match self.workers.get_mut(number as usize) {
