--- a/crates/cli/src/leader_client.rs
+++ b/crates/cli/src/leader_client.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-use nickelflow_control_plane::{PeerError, PeerRequest, PeerResponse, Peers, Proposal};
+use nickelflow_control_plane::{PeerClient, PeerError, PeerRequest, PeerResponse, Proposal};
 
 use crate::error::CliError;
 
@@ -30,7 +30,7 @@
 ///
 /// [`CliError::Rejected`] if it rejected the request, [`CliError::NoLeader`] if no leader answered in time.
 pub(crate) async fn ask_leader(
-    peers: &Peers,
+    peers: &PeerClient,
     new_request: impl Fn() -> PeerRequest,
 ) -> Result<PeerResponse, CliError> {
     let started = Instant::now();
@@ -51,8 +51,8 @@
 }
 
 /// Sends a request to one voter.
-async fn attempt(peers: &Peers, address: &str, request: &PeerRequest) -> Attempt {
-    match peers.ask(address, request, RESPONSE_TIMEOUT).await {
+async fn attempt(peers: &PeerClient, address: &str, request: &PeerRequest) -> Attempt {
+    match peers.send(address, request, RESPONSE_TIMEOUT).await {
         Ok(PeerResponse::Error(
             error @ (PeerError::Rejected(_)
             | PeerError::NotBootstrapped
@@ -70,7 +70,10 @@
 /// # Errors
 ///
 /// Those of [`ask_leader`], and [`CliError::UnexpectedResponse`].
-pub(crate) async fn apply(peers: &Peers, new_request: impl Fn() -> PeerRequest) -> Result<u64, CliError> {
+pub(crate) async fn apply(
+    peers: &PeerClient,
+    new_request: impl Fn() -> PeerRequest,
+) -> Result<u64, CliError> {
     match ask_leader(peers, new_request).await? {
         PeerResponse::Applied(number) => Ok(number),
         _ => Err(CliError::UnexpectedResponse),
@@ -82,7 +85,7 @@
 /// # Errors
 ///
 /// Those of [`ask_leader`], and [`CliError::UnexpectedResponse`].
-pub(crate) async fn proposals(peers: &Peers) -> Result<Vec<Proposal>, CliError> {
+pub(crate) async fn proposals(peers: &PeerClient) -> Result<Vec<Proposal>, CliError> {
     match ask_leader(peers, || PeerRequest::History).await? {
         PeerResponse::History(proposals) => Ok(proposals),
         _ => Err(CliError::UnexpectedResponse),
@@ -94,6 +97,6 @@
 /// # Errors
 ///
 /// Those of [`proposals`].
-pub(crate) async fn newest_proposal(peers: &Peers) -> Result<u64, CliError> {
+pub(crate) async fn newest_proposal(peers: &PeerClient) -> Result<u64, CliError> {
     Ok(proposals(peers).await?.last().map_or(0, |proposal| proposal.number))
 }
--- a/crates/cli/src/rules_command.rs
+++ b/crates/cli/src/rules_command.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-use nickelflow_control_plane::{prepare, Command, PeerRequest, Peers, Proposal};
+use nickelflow_control_plane::{prepare_data_dir, Command, PeerClient, PeerRequest, Proposal};
 use nickelflow_rollout::RulesDocument;
 
 use crate::arguments::RulesCommand;
@@ -19,7 +19,7 @@
 ///
 /// [`CliError`], of which each variant says which command it belongs to.
 pub async fn run_rules_command(settings: &RulesSettings, command: RulesCommand) -> Result<String, CliError> {
-    let peers = Peers::new(settings.fleet.clone(), settings.voters()?);
+    let peers = PeerClient::new(settings.fleet.clone(), settings.voters()?);
     match command {
         RulesCommand::Prepare => prepare_voter(settings),
         RulesCommand::Bootstrap { file } => bootstrap(&peers, &file).await,
@@ -38,19 +38,19 @@
     let (Some(voter_id), Some(data_dir)) = (settings.voter_id, &settings.data_dir) else {
         return Err(CliError::NotVoter);
     };
-    let file = prepare(data_dir, &settings.fleet, voter_id)?;
+    let file = prepare_data_dir(data_dir, &settings.fleet, voter_id)?;
     Ok(format!("prepared {} for voter {voter_id}\n", file.display()))
 }
 
 /// Makes a document the first rules.
-async fn bootstrap(peers: &Peers, file: &Path) -> Result<String, CliError> {
+async fn bootstrap(peers: &PeerClient, file: &Path) -> Result<String, CliError> {
     let document = load_document(file)?;
     let number = apply(peers, || PeerRequest::Bootstrap(document.clone())).await?;
     Ok(format!("founded with proposal {number}\n"))
 }
 
 /// Prints the newest or another proposal as a document.
-async fn show(peers: &Peers, wanted: Option<u64>) -> Result<String, CliError> {
+async fn show(peers: &PeerClient, wanted: Option<u64>) -> Result<String, CliError> {
     let proposals = proposals(peers).await?;
     let found = match wanted {
         Some(wanted) => proposals.iter().find(|proposal| proposal.number == wanted),
@@ -61,7 +61,7 @@
 }
 
 /// Proposes a document.
-async fn propose(peers: &Peers, file: &Path, base: Option<u64>) -> Result<String, CliError> {
+async fn propose(peers: &PeerClient, file: &Path, base: Option<u64>) -> Result<String, CliError> {
     let document = load_document(file)?;
     let base = match base {
         Some(base) => base,
@@ -73,14 +73,14 @@
 }
 
 /// Proposes an earlier document again.
-async fn roll_back(peers: &Peers, to: u64) -> Result<String, CliError> {
+async fn roll_back(peers: &PeerClient, to: u64) -> Result<String, CliError> {
     let base = newest_proposal(peers).await?;
     let number = apply(peers, || PeerRequest::Command(Command::RollBack { base, to })).await?;
     Ok(format!("proposal {number}, the same as {to}\n"))
 }
 
 /// Lists the stored proposals.
-async fn history(peers: &Peers) -> Result<String, CliError> {
+async fn history(peers: &PeerClient) -> Result<String, CliError> {
     let mut report = String::new();
     for Proposal { number, document } in proposals(peers).await? {
         let _ = writeln!(report, "{number}: {}", summary(&document));
@@ -100,13 +100,13 @@
 }
 
 /// Removes a scheduler that is down from the members.
-async fn remove_member(peers: &Peers, name: &str) -> Result<String, CliError> {
+async fn remove_member(peers: &PeerClient, name: &str) -> Result<String, CliError> {
     apply(peers, || PeerRequest::Command(Command::Leave(name.to_owned()))).await?;
     Ok(format!("{name} has no seat any more\n"))
 }
 
 /// Replaces the set of voters.
-async fn change_voters(peers: &Peers, ids: &[u64]) -> Result<String, CliError> {
+async fn change_voters(peers: &PeerClient, ids: &[u64]) -> Result<String, CliError> {
     apply(peers, || PeerRequest::ChangeVoters(ids.iter().copied().collect())).await?;
     Ok(format!("{} voters\n", ids.len()))
 }
--- a/crates/cli/src/status_report.rs
+++ b/crates/cli/src/status_report.rs
@@ -2,21 +2,23 @@
 
 use std::fmt::Write;
 
-use nickelflow_control_plane::{HolderStatus, LeaderStatus, PeerRequest, PeerResponse, Peers, Status};
+use nickelflow_control_plane::{
+    MemberStatus, PeerClient, PeerRequest, PeerResponse, RolloutStatus, SchedulerStatus,
+};
 
 use crate::error::CliError;
 use crate::leader_client::RESPONSE_TIMEOUT;
 
-/// The state of each voter and, from the leader, of the rollout and all lease holders.
+/// The state of each voter and, from the leader, of the rollout and all members.
 ///
 /// # Errors
 ///
 /// [`CliError::NoVoter`] if no voter answered.
-pub(crate) async fn status_report(peers: &Peers) -> Result<String, CliError> {
+pub(crate) async fn status_report(peers: &PeerClient) -> Result<String, CliError> {
     let mut report = String::new();
     let mut answered = 0;
     for (id, address) in peers.voters() {
-        match peers.ask(address, &PeerRequest::Status, RESPONSE_TIMEOUT).await {
+        match peers.send(address, &PeerRequest::Status, RESPONSE_TIMEOUT).await {
             Ok(PeerResponse::Status(status)) => {
                 answered += 1;
                 write_voter(&mut report, *id, &status);
@@ -32,50 +34,52 @@
 }
 
 /// Writes the lines of one voter.
-fn write_voter(report: &mut String, id: u64, status: &Status) {
+fn write_voter(report: &mut String, id: u64, status: &SchedulerStatus) {
     let active = match status.version {
         None => "acts on nothing yet".to_owned(),
-        Some(version) if status.left_ms > 0 => {
-            format!("acts on {version}, {} ms of its lease left", status.left_ms)
+        Some(version) if status.lease_remaining_ms > 0 => {
+            format!("acts on {version}, {} ms of its lease left", status.lease_remaining_ms)
         }
         Some(version) => format!("acts carefully on {version} for {} ms", status.degraded_ms),
     };
-    let _ = writeln!(report, "voter {id} ({}, {}): {active}", status.name, status.build);
-    let _ = match (&status.not_voting_reason, status.leader) {
+    let _ = writeln!(report, "voter {id} ({}, {}): {active}", status.name, status.program_version);
+    let _ = match (&status.not_voting_reason, status.leader_id) {
         (Some(reason), _) => writeln!(report, "  does not vote: {reason}"),
         (None, Some(leader)) => writeln!(report, "  voter {leader} leads"),
         (None, None) => writeln!(report, "  knows nobody that leads"),
     };
-    if let Some(leader_status) = &status.leader_status {
-        write_rollout(report, leader_status, status.max_overlap_ms);
+    if let Some(rollout) = &status.rollout {
+        write_rollout(report, rollout, status.max_overlap_ms);
     }
 }
 
 /// Writes the state of the rollout as the leader knows it.
-fn write_rollout(report: &mut String, status: &LeaderStatus, max_overlap_ms: u64) {
-    let LeaderStatus { active, newest, pending_steps, blocked_by, holders } = status;
+fn write_rollout(report: &mut String, status: &RolloutStatus, max_overlap_ms: u64) {
+    let RolloutStatus { active_version: active, newest_proposal, pending_steps, blocked_by, members } =
+        status;
     let _ = writeln!(
         report,
-        "  in force {active}, proposal {newest} is the newest, {pending_steps} steps to come; T {max_overlap_ms} ms"
+        "  in force {active}, proposal {newest_proposal} is the newest, {pending_steps} steps to come; \
+        T {max_overlap_ms} ms"
     );
     if let Some(reason) = blocked_by {
         let _ = writeln!(report, "  the next step waits: {reason}");
     }
-    for holder in holders {
-        write_holder(report, holder);
+    for member in members {
+        write_member(report, member);
     }
 }
 
-/// Writes the line of one lease holder.
-fn write_holder(report: &mut String, holder: &HolderStatus) {
-    let acknowledged = match holder.acknowledged {
+/// Writes the line of one member.
+fn write_member(report: &mut String, member: &MemberStatus) {
+    let acknowledged = match member.acknowledged_version {
         None => "nothing heard".to_owned(),
         Some(version) => format!("has {version}"),
     };
-    let lease = match holder.left_ms {
+    let lease = match member.lease_remaining_ms {
         0 => "its lease is over".to_owned(),
-        left_ms => format!("its lease is over in {left_ms} ms at the latest"),
+        remaining_ms => format!("its lease is over in {remaining_ms} ms at the latest"),
     };
-    let HolderStatus { name, earliest, .. } = holder;
+    let MemberStatus { name, earliest_version: earliest, .. } = member;
     let _ = writeln!(report, "  {name}: {acknowledged}, {lease}, may act on {earliest} at the earliest");
 }
--- a/crates/control-plane/src/config.rs
+++ b/crates/control-plane/src/config.rs
@@ -5,7 +5,7 @@
 
 use nickelflow_rollout::LeaseConfig;
 
-use crate::peers::Address;
+use crate::peer_client::Address;
 
 /// What a process is configured with.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
     /// injection, which shows that they must not.
     pub local_lease: LeaseConfig,
     /// The version of the program, for the status.
-    pub build: String,
+    pub program_version: String,
 }
 
 /// What a voter is configured with.
@@ -32,6 +32,6 @@
 pub struct VoterConfig {
     /// Its number.
     pub id: u64,
-    /// Its data folder, which was made by [`prepare`](crate::prepare).
+    /// Its data folder, which was made by [`prepare_data_dir`](crate::prepare_data_dir).
     pub data_dir: PathBuf,
 }
--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -14,7 +14,7 @@
 use crate::config::ControlPlaneConfig;
 use crate::http_server::HttpServer;
 use crate::lease_client::LeaseClient;
-use crate::peers::Peers;
+use crate::peer_client::PeerClient;
 use crate::request_handler::RequestHandler;
 use crate::voter::{OpenOutcome, VoterOpener, VoterSlot};
 
@@ -98,7 +98,7 @@
 ) {
     let config = Arc::new(config);
     let clock = Clock::start();
-    let peers = Peers::new(config.fleet.clone(), config.voters.clone());
+    let peers = PeerClient::new(config.fleet.clone(), config.voters.clone());
     let lease_client = LeaseClient::new(&config, clock, peers.clone());
     let max_overlap_ms = config.lease.max_overlap() / NANOS_PER_MS;
     info!(fleet = config.fleet, max_overlap_ms, "control plane started");
--- a/crates/control-plane/src/leader_service.rs
+++ b/crates/control-plane/src/leader_service.rs
@@ -16,7 +16,7 @@
 use crate::raft_types::Raft;
 use crate::read_index::{leading_term, write_error, LeadershipConfirmer, QUORUM_TIMEOUT};
 use crate::state_machine::StateMachine;
-use crate::status::{HolderStatus, LeaderStatus};
+use crate::status::{MemberStatus, RolloutStatus};
 
 /// How often the leader checks whether the next step can be activated, while there is one: often compared
 /// with a lease, which is what a step mostly waits for.
@@ -206,14 +206,14 @@
     }
 
     /// Returns the state of the rollout; `None` if this voter does not lead or there are no rules.
-    pub fn status(&self) -> Option<LeaderStatus> {
+    pub fn status(&self) -> Option<RolloutStatus> {
         let status = self.state_machine.with_rollout(|rollout| {
-            self.with_lease_table(|table, now| LeaderStatus {
-                active: rollout.active().version,
-                newest: rollout.proposals().last().map_or(0, |proposal| proposal.number),
+            self.with_lease_table(|table, now| RolloutStatus {
+                active_version: rollout.active().version,
+                newest_proposal: rollout.proposals().last().map_or(0, |proposal| proposal.number),
                 pending_steps: rollout.pending_steps() as u64,
                 blocked_by: blocked_by(rollout, table, now),
-                holders: holder_statuses(rollout, table, now),
+                members: member_statuses(rollout, table, now),
             })
         });
         status.flatten()
@@ -255,18 +255,18 @@
     rollout.blocked_by(&acknowledged).map(|reason| reason.to_string())
 }
 
-fn holder_statuses(rollout: &RolloutState, table: &LeaseTable, now: Nanos) -> Vec<HolderStatus> {
+fn member_statuses(rollout: &RolloutState, table: &LeaseTable, now: Nanos) -> Vec<MemberStatus> {
     let expiries: BTreeMap<&str, Nanos> =
         table.outstanding_leases().map(|lease| (lease.holder, lease.expiry)).collect();
-    let left_ms = |name: &str| match expiries.get(name) {
+    let lease_remaining_ms = |name: &str| match expiries.get(name) {
         Some(expiry) => expiry.saturating_sub(now) / NANOS_PER_MS,
         None => 0,
     };
-    let status = |(name, earliest): (&str, Version)| HolderStatus {
+    let status = |(name, earliest_version): (&str, Version)| MemberStatus {
         name: name.to_owned(),
-        acknowledged: table.acknowledged(name),
-        earliest,
-        left_ms: left_ms(name),
+        acknowledged_version: table.acknowledged(name),
+        earliest_version,
+        lease_remaining_ms: lease_remaining_ms(name),
     };
     rollout.members().map(status).collect()
 }
--- a/crates/control-plane/src/lease_client.rs
+++ b/crates/control-plane/src/lease_client.rs
@@ -14,8 +14,8 @@
 use crate::config::ControlPlaneConfig;
 use crate::leader_service::LeaderService;
 use crate::messages::{PeerRequest, PeerResponse};
+use crate::peer_client::{PeerClient, TransportError};
 use crate::peer_error::PeerError;
-use crate::peers::{Peers, TransportError};
 
 /// The shortest pause after a voter that has not granted, until the next one is asked. It is short, for all
 /// schedulers lose their leases together.
@@ -29,7 +29,7 @@
     name: String,
     lease: LeaseConfig,
     clock: Clock,
-    peers: Peers,
+    peers: PeerClient,
     /// Set if this process is a voter itself.
     local_voter: OnceLock<LocalVoter>,
     holder: Mutex<LeaseHolder>,
@@ -49,14 +49,14 @@
     /// The version that was granted last.
     pub version: Option<Version>,
     /// How long the lease still lasts (ms).
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// For how long the lease has lapsed (ms).
     pub degraded_ms: u64,
 }
 
 impl LeaseClient {
     /// Creates the client of this process, which has no lease yet.
-    pub fn new(config: &ControlPlaneConfig, clock: Clock, peers: Peers) -> Arc<LeaseClient> {
+    pub fn new(config: &ControlPlaneConfig, clock: Clock, peers: PeerClient) -> Arc<LeaseClient> {
         let incarnation = fastrand::u64(..);
         Arc::new(LeaseClient {
             name: config.name.clone(),
@@ -104,7 +104,7 @@
         };
         LeaseSummary {
             version,
-            left_ms: holder.remaining(now) / NANOS_PER_MS,
+            remaining_ms: holder.remaining(now) / NANOS_PER_MS,
             degraded_ms: lapsed_for / NANOS_PER_MS,
         }
     }
@@ -208,7 +208,7 @@
     ) -> Result<PeerResponse, TransportError> {
         let local_voter = self.local_voter.get().filter(|local| local.id == voter);
         let Some(LocalVoter { service, .. }) = local_voter else {
-            return self.peers.ask_voter(voter, request, limit).await;
+            return self.peers.send_to_voter(voter, request, limit).await;
         };
         // Without its listener, but with no more time than another voter has.
         let late = |_| TransportError::Timeout { peer: format!("voter {voter}"), limit };
@@ -224,7 +224,7 @@
                 let written = written.map_err(late)?;
                 Ok(written.map_or_else(PeerResponse::Error, PeerResponse::Applied))
             }
-            _ => self.peers.ask_voter(voter, request, limit).await,
+            _ => self.peers.send_to_voter(voter, request, limit).await,
         }
     }
 
--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -15,7 +15,7 @@
 use crate::command::Command;
 use crate::peer_error::PeerError;
 use crate::raft_types::{InstallSnapshotRpcError, RaftRpcError, TypeConfig};
-use crate::status::Status;
+use crate::status::SchedulerStatus;
 
 /// Bytes of a message, at most: some entries of the log, each with a document of 20,000 workers.
 pub const MAX_MESSAGE_BYTES: usize = 32 << 20;
@@ -91,7 +91,7 @@
     /// To [`PeerRequest::History`]: the cached proposals, the newest last.
     History(Vec<Proposal>),
     /// To [`PeerRequest::Status`].
-    Status(Box<Status>),
+    Status(Box<SchedulerStatus>),
     /// The request was not served.
     Error(PeerError),
 }
--- a/crates/control-plane/src/peers.rs
+++ b/crates/control-plane/src/peer_client.rs
@@ -68,15 +68,15 @@
 
 /// The transport to other processes of one fleet.
 #[derive(Clone)]
-pub struct Peers {
+pub struct PeerClient {
     client: Client<HttpConnector, Full<Bytes>>,
     fleet: String,
     voters: BTreeMap<u64, Address>,
 }
 
-impl Peers {
+impl PeerClient {
     /// Creates the transport of a fleet; `voters` are the addresses of the voters by number.
-    pub fn new(fleet: String, voters: BTreeMap<u64, Address>) -> Peers {
+    pub fn new(fleet: String, voters: BTreeMap<u64, Address>) -> PeerClient {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
@@ -85,7 +85,7 @@
             .pool_idle_timeout(IDLE_TIMEOUT)
             .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS_PER_HOST)
             .build(connector);
-        Peers { client, fleet, voters }
+        PeerClient { client, fleet, voters }
     }
 
     /// Returns the addresses of the voters by number.
@@ -99,7 +99,7 @@
     ///
     /// Fails if the exchange fails or takes longer than `limit`; its connection is closed then. An answer
     /// that says no is an [`Ok`] with a [`PeerResponse::Error`].
-    pub async fn ask(
+    pub async fn send(
         &self,
         address: &str,
         request: &PeerRequest,
@@ -109,19 +109,19 @@
         exchange.unwrap_or_else(|_| Err(TransportError::Timeout { peer: address.to_owned(), limit }))
     }
 
-    /// Asks a voter by its number; else the same as [`ask`](Self::ask).
+    /// Asks a voter by its number; else the same as [`send`](Self::send).
     ///
     /// # Errors
     ///
-    /// Fails as [`ask`](Self::ask) does, and if the voter is not configured.
-    pub async fn ask_voter(
+    /// Fails as [`send`](Self::send) does, and if the voter is not configured.
+    pub async fn send_to_voter(
         &self,
         id: u64,
         request: &PeerRequest,
         limit: Duration,
     ) -> Result<PeerResponse, TransportError> {
         let address = self.voters.get(&id).ok_or(TransportError::UnknownVoter(id))?;
-        self.ask(address, request, limit).await
+        self.send(address, request, limit).await
     }
 
     async fn exchange(&self, address: &str, request: &PeerRequest) -> Result<PeerResponse, TransportError> {
--- a/crates/control-plane/src/raft_network.rs
+++ b/crates/control-plane/src/raft_network.rs
@@ -11,7 +11,7 @@
 use openraft::EmptyNode;
 
 use crate::messages::{PeerRequest, PeerResponse};
-use crate::peers::{Peers, TransportError};
+use crate::peer_client::{PeerClient, TransportError};
 use crate::raft_types::TypeConfig;
 
 /// The pause after a voter could not be reached. It is short, for a mended link must not cost an election.
@@ -19,7 +19,7 @@
 
 /// The connection to one voter.
 pub struct VoterConnection {
-    peers: Peers,
+    peers: PeerClient,
     id: u64,
 }
 
@@ -39,7 +39,7 @@
 
 impl VoterConnection {
     async fn ask(&self, request: &PeerRequest, option: &RPCOption) -> Result<PeerResponse, TransportError> {
-        self.peers.ask_voter(self.id, request, option.hard_ttl()).await
+        self.peers.send_to_voter(self.id, request, option.hard_ttl()).await
     }
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-impl RaftNetworkFactory<TypeConfig> for Peers {
+impl RaftNetworkFactory<TypeConfig> for PeerClient {
     type Network = VoterConnection;
 
     async fn new_client(&mut self, target: u64, _node: &EmptyNode) -> VoterConnection {
--- a/crates/control-plane/src/request_handler.rs
+++ b/crates/control-plane/src/request_handler.rs
@@ -10,7 +10,7 @@
 use crate::lease_client::LeaseClient;
 use crate::messages::{PeerRequest, PeerResponse};
 use crate::peer_error::PeerError;
-use crate::status::Status;
+use crate::status::SchedulerStatus;
 use crate::voter::{Voter, VoterSlot};
 
 /// Answers requests.
@@ -100,7 +100,7 @@
         Ok(PeerResponse::LeaseGranted(Box::new(grant)))
     }
 
-    fn status(&self) -> Status {
+    fn status(&self) -> SchedulerStatus {
         let lease = self.lease_client.summary();
         let (voter, not_voting_reason) = match self.voter.get() {
             Ok(voter) => {
@@ -110,17 +110,17 @@
             Err(reason) => (None, Some(reason.to_string())),
         };
         let leader_service = voter.as_ref().map(|voter| &voter.leader_service);
-        Status {
+        SchedulerStatus {
             name: self.config.name.clone(),
-            build: self.config.build.clone(),
+            program_version: self.config.program_version.clone(),
             version: lease.version,
-            left_ms: lease.left_ms,
+            lease_remaining_ms: lease.remaining_ms,
             degraded_ms: lease.degraded_ms,
             max_overlap_ms: self.config.lease.max_overlap() / NANOS_PER_MS,
             not_voting_reason,
-            voter: self.config.voter.as_ref().map(|voter| voter.id),
-            leader: leader_service.and_then(|service| service.leader()),
-            leader_status: leader_service.and_then(|service| service.status()),
+            voter_id: self.config.voter.as_ref().map(|voter| voter.id),
+            leader_id: leader_service.and_then(|service| service.leader()),
+            rollout: leader_service.and_then(|service| service.status()),
         }
     }
 }
--- a/crates/control-plane/src/status.rs
+++ b/crates/control-plane/src/status.rs
@@ -7,15 +7,15 @@
 
 /// The state of one process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Status {
+pub struct SchedulerStatus {
     /// The scheduler's name, under which it is a member.
     pub name: String,
     /// The version of the program.
-    pub build: String,
+    pub program_version: String,
     /// The version that it was last granted a lease on.
     pub version: Option<Version>,
     /// How long that lease still lasts (ms).
-    pub left_ms: u64,
+    pub lease_remaining_ms: u64,
     /// For how long it has acted on degraded rules (ms); 0 while it has a lease.
     pub degraded_ms: u64,
     /// T: how long after a version became active a scheduler may still act on the one before, at most (ms).
@@ -23,37 +23,37 @@
     /// Why it does not vote, or what is wrong with its data folder; `None` if it votes.
     pub not_voting_reason: Option<String>,
     /// Its number as a voter, if it is configured as one.
-    pub voter: Option<u64>,
+    pub voter_id: Option<u64>,
     /// The number of the leader, as far as it knows.
-    pub leader: Option<u64>,
+    pub leader_id: Option<u64>,
     /// The state of the rollout; only the leader reports it.
-    pub leader_status: Option<LeaderStatus>,
+    pub rollout: Option<RolloutStatus>,
 }
 
 /// The state of the rollout, as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaderStatus {
+pub struct RolloutStatus {
     /// The active version.
-    pub active: Version,
+    pub active_version: Version,
     /// The number of the newest proposal.
-    pub newest: u64,
+    pub newest_proposal: u64,
     /// Steps between the active one and the newest proposal.
     pub pending_steps: u64,
     /// What the next step waits for.
     pub blocked_by: Option<String>,
     /// All members.
-    pub holders: Vec<HolderStatus>,
+    pub members: Vec<MemberStatus>,
 }
 
 /// A member's lease, as the leader knows it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HolderStatus {
+pub struct MemberStatus {
     /// The scheduler's name.
     pub name: String,
     /// The version that it has acknowledged to this leader.
-    pub acknowledged: Option<Version>,
+    pub acknowledged_version: Option<Version>,
     /// The earliest version that it may still act on, if only on its degraded rules.
-    pub earliest: Version,
+    pub earliest_version: Version,
     /// How long until its lease has surely expired (ms); 0 if it has.
-    pub left_ms: u64,
+    pub lease_remaining_ms: u64,
 }
--- a/crates/control-plane/src/store/file.rs
+++ b/crates/control-plane/src/store/file.rs
@@ -51,7 +51,7 @@
 /// # Errors
 ///
 /// Fails if the folder has a voter's file already, or cannot be written.
-pub fn prepare(folder: &Path, fleet: &str, voter: u64) -> Result<PathBuf, PrepareError> {
+pub fn prepare_data_dir(folder: &Path, fleet: &str, voter: u64) -> Result<PathBuf, PrepareError> {
     let io_error = |path: &Path, source| PrepareError::Io { path: path.to_owned(), source };
     std::fs::create_dir_all(folder).map_err(|e| io_error(folder, e))?;
     let file = folder.join(FILE_NAME);
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -18,7 +18,7 @@
 use crate::raft_types::SnapshotMeta;
 
 pub use errors::{OpenError, PrepareError, StoreError};
-pub use file::prepare;
+pub use file::prepare_data_dir;
 
 /// The pause between two attempts to read or write a file whose disk fails.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
--- a/crates/control-plane/src/voter.rs
+++ b/crates/control-plane/src/voter.rs
@@ -17,8 +17,8 @@
 use crate::config::{ControlPlaneConfig, VoterConfig};
 use crate::leader_service::{check_document_size, LeaderService};
 use crate::lease_client::LeaseClient;
+use crate::peer_client::PeerClient;
 use crate::peer_error::PeerError;
-use crate::peers::Peers;
 use crate::raft_types::Raft;
 use crate::state_machine::{LoadError, StateMachine};
 use crate::store::{OpenError, Store};
@@ -101,7 +101,7 @@
     async fn open(
         config: &ControlPlaneConfig,
         voter: &VoterConfig,
-        peers: Peers,
+        peers: PeerClient,
         clock: Clock,
     ) -> Result<Voter, VoterError> {
         let store = Store::open(&voter.data_dir, &config.fleet, voter.id)?;
@@ -214,7 +214,7 @@
     /// Those of its voter.
     pub voter: VoterConfig,
     /// The transport to the other voters.
-    pub peers: Peers,
+    pub peers: PeerClient,
     /// The clock of the process.
     pub clock: Clock,
     /// The client that asks the voter within the process, once there is one.
--- a/crates/control-plane/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 
 use nickelflow_control_plane::{
-    prepare, start, Command, ControlPlane, ControlPlaneConfig, PeerError, PeerRequest, PeerResponse, Peers,
-    Proposal, Status, VoterConfig,
+    prepare_data_dir, start, Command, ControlPlane, ControlPlaneConfig, PeerClient, PeerError, PeerRequest,
+    PeerResponse, Proposal, SchedulerStatus, VoterConfig,
 };
 use nickelflow_rollout::{LeaseConfig, RulesDocument, Version};
 
@@ -107,7 +107,7 @@
     /// Gives a new voter its port and its data folder.
     pub fn prepare_voter(&mut self, id: u64) {
         self.reserve_address(id);
-        prepare(&self.data_dir(id), &self.name, id).expect("a new folder");
+        prepare_data_dir(&self.data_dir(id), &self.name, id).expect("a new folder");
     }
 
     /// Gives a new voter its port.
@@ -131,7 +131,7 @@
             voter,
             lease: lease_config(),
             local_lease: lease_config(),
-            build: "test".to_owned(),
+            program_version: "test".to_owned(),
         }
     }
 
@@ -156,8 +156,8 @@
 
     /// Asks a voter, which must answer.
     pub async fn ask(&self, id: u64, request: &PeerRequest) -> PeerResponse {
-        let peers = Peers::new(self.name.clone(), self.addresses.clone());
-        peers.ask(&self.addresses[&id], request, REQUEST_TIMEOUT).await.expect("an answer")
+        let peers = PeerClient::new(self.name.clone(), self.addresses.clone());
+        peers.send(&self.addresses[&id], request, REQUEST_TIMEOUT).await.expect("an answer")
     }
 
     /// Asks the voters in turn until the leader has answered.
@@ -197,7 +197,7 @@
     }
 
     /// The status of a voter.
-    pub async fn status(&self, id: u64) -> Status {
+    pub async fn status(&self, id: u64) -> SchedulerStatus {
         match self.ask(id, &PeerRequest::Status).await {
             PeerResponse::Status(status) => *status,
             other => panic!("{other:?}"),
@@ -208,7 +208,7 @@
     pub async fn leader(&self) -> u64 {
         until(|| async {
             for id in self.running.keys() {
-                if self.status(*id).await.leader_status.is_some() {
+                if self.status(*id).await.rollout.is_some() {
                     return Some(*id);
                 }
             }
--- a/crates/control-plane/tests/control_plane.rs
+++ b/crates/control-plane/tests/control_plane.rs
@@ -12,8 +12,8 @@
     acts_on_milk_quota, document, lease_config, milk_quota, until, Fleet, REQUEST_TIMEOUT, TEST_TIMEOUT,
 };
 use nickelflow_control_plane::{
-    prepare, start, Command, ControlPlane, ControlPlaneConfig, PeerError, PeerRequest, PeerResponse, Peers,
-    VoterConfig,
+    prepare_data_dir, start, Command, ControlPlane, ControlPlaneConfig, PeerClient, PeerError, PeerRequest,
+    PeerResponse, VoterConfig,
 };
 use nickelflow_rollout::{CommandError, LeaseConfig, RulesDocument, WorkerState};
 
@@ -180,14 +180,14 @@
         voter: Some(VoterConfig { id: 1, data_dir: data_dir.to_owned() }),
         lease: lease_config(),
         local_lease: lease_config(),
-        build: "test".to_owned(),
+        program_version: "test".to_owned(),
     };
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     let scheduler = start(config, listener).expect("it starts all the same");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let peers = Peers::new(FLEET.to_owned(), BTreeMap::new());
-    let response = runtime.block_on(peers.ask(&address, &PeerRequest::Status, REQUEST_TIMEOUT));
+    let peers = PeerClient::new(FLEET.to_owned(), BTreeMap::new());
+    let response = runtime.block_on(peers.send(&address, &PeerRequest::Status, REQUEST_TIMEOUT));
     scheduler.shut_down();
     let response = response.expect("an answer");
     let PeerResponse::Status(status) = response else { panic!("{response:?}") };
@@ -201,10 +201,10 @@
         [("a", "gruyere", 1, "of fleet gruyere"), ("b", FLEET, 2, "voter 2")]
     {
         let path = folder.path().join(name);
-        prepare(&path, fleet, voter).expect("a new folder");
+        prepare_data_dir(&path, fleet, voter).expect("a new folder");
         let why = not_voting_reason(&path);
         assert!(why.contains(expected), "{why}");
-        let error = prepare(&path, FLEET, 1).expect_err("not over another's").to_string();
+        let error = prepare_data_dir(&path, FLEET, 1).expect_err("not over another's").to_string();
         assert!(error.contains("already"), "{error}");
     }
     let path = folder.path().join("c");
@@ -217,8 +217,8 @@
 async fn malformed_and_foreign_requests_are_rejected_without_harm() {
     let fleet = Fleet::bootstrapped(milk_quota(100)).await;
     acts_on_milk_quota(&fleet.running[&1], 100.0).await;
-    let other = Peers::new("gruyere".to_owned(), BTreeMap::new());
-    let error = other.ask(&fleet.addresses[&1], &PeerRequest::Status, REQUEST_TIMEOUT).await;
+    let other = PeerClient::new("gruyere".to_owned(), BTreeMap::new());
+    let error = other.send(&fleet.addresses[&1], &PeerRequest::Status, REQUEST_TIMEOUT).await;
     let why = error.expect_err("another fleet's").to_string();
     assert!(why.contains("another fleet"), "{why}");
     let head = format!("POST /rules HTTP/1.1\r\nhost: x\r\nnickelflow-fleet: {}\r\n", fleet.name);
@@ -279,11 +279,10 @@
     // Each has three steps at the most, and none waits in a queue.
     assert!(last.number - first.number <= 300, "{first} to {last}");
     let leader = fleet.leader().await;
-    let status = until(|| async {
-        fleet.status(leader).await.leader_status.filter(|status| status.pending_steps == 0)
-    })
-    .await;
-    assert_eq!(status.newest, 101);
+    let status =
+        until(|| async { fleet.status(leader).await.rollout.filter(|status| status.pending_steps == 0) })
+            .await;
+    assert_eq!(status.newest_proposal, 101);
 }
 
 #[tokio::test]
--- a/crates/control-plane/tests/message_bytes.rs
+++ b/crates/control-plane/tests/message_bytes.rs
@@ -10,7 +10,7 @@
 use std::fmt::Debug;
 
 use nickelflow_control_plane::{
-    Command, HolderStatus, LeaderStatus, PeerError, PeerRequest, PeerResponse, Proposal, Status,
+    Command, MemberStatus, PeerError, PeerRequest, PeerResponse, Proposal, RolloutStatus, SchedulerStatus,
 };
 use nickelflow_rollout::{
     CommandError, LeaseGrant, LeaseRequest, RulesDocument, RulesStep, Version, WorkerState,
@@ -201,50 +201,50 @@
     ]
 }
 
-fn holder_status() -> HolderStatus {
-    HolderStatus {
+fn member_status() -> MemberStatus {
+    MemberStatus {
         name: "s1".to_owned(),
-        acknowledged: Some(version(302)),
-        earliest: version(301),
-        left_ms: 812,
+        acknowledged_version: Some(version(302)),
+        earliest_version: version(301),
+        lease_remaining_ms: 812,
     }
 }
 
-fn leader_status() -> LeaderStatus {
-    LeaderStatus {
-        active: version(303),
-        newest: 12,
+fn rollout_status() -> RolloutStatus {
+    RolloutStatus {
+        active_version: version(303),
+        newest_proposal: 12,
         pending_steps: 3,
         blocked_by: Some("s1 is too many steps behind".to_owned()),
-        holders: vec![
-            holder_status(),
-            HolderStatus { name: "s2".to_owned(), acknowledged: None, ..holder_status() },
+        members: vec![
+            member_status(),
+            MemberStatus { name: "s2".to_owned(), acknowledged_version: None, ..member_status() },
         ],
     }
 }
 
-fn status() -> Status {
-    Status {
+fn status() -> SchedulerStatus {
+    SchedulerStatus {
         name: "s1".to_owned(),
-        build: "0.1.0".to_owned(),
+        program_version: "0.1.0".to_owned(),
         version: Some(version(302)),
-        left_ms: 811,
+        lease_remaining_ms: 811,
         degraded_ms: 813,
         max_overlap_ms: 1_020,
         not_voting_reason: Some("the disk is full".to_owned()),
-        voter: Some(2),
-        leader: Some(3),
-        leader_status: Some(leader_status()),
+        voter_id: Some(2),
+        leader_id: Some(3),
+        rollout: Some(rollout_status()),
     }
 }
 
-fn status_of_non_voter() -> Status {
-    Status {
+fn status_of_non_voter() -> SchedulerStatus {
+    SchedulerStatus {
         version: None,
         not_voting_reason: None,
-        voter: None,
-        leader: None,
-        leader_status: None,
+        voter_id: None,
+        leader_id: None,
+        rollout: None,
         ..status()
     }
 }
@@ -285,8 +285,8 @@
     checker.check_all("command", &commands());
     checker.check_all("call", &requests());
     checker.check_all("refusal", &peer_errors());
-    checker.check("holder-status", &holder_status());
-    checker.check("lead", &leader_status());
+    checker.check("holder-status", &member_status());
+    checker.check("lead", &rollout_status());
     checker.check("status", &status());
     checker.check_all("answer", &responses());
     checker.finish();
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -15,7 +15,7 @@
 
 use common::{acts_on_milk_quota, document, milk_quota, until, Fleet, VOTERS};
 use flate2::read::GzDecoder;
-use nickelflow_control_plane::{LeaderStatus, Proposal};
+use nickelflow_control_plane::{Proposal, RolloutStatus};
 use nickelflow_rollout::{RolloutState, RulesDocument, Version};
 use openraft::{EmptyNode, LogId, SnapshotMeta, StoredMembership};
 use redb::{ReadableTable, ReadableTableMetadata, TableDefinition};
@@ -80,12 +80,12 @@
 }
 
 /// The status of the leader once all three voters hold leases and no step is pending.
-async fn settled_leader(fleet: &Fleet) -> LeaderStatus {
+async fn settled_leader(fleet: &Fleet) -> RolloutStatus {
     until(|| async {
         for id in VOTERS {
-            let status = fleet.status(id).await.leader_status;
+            let status = fleet.status(id).await.rollout;
             let settled =
-                |status: &LeaderStatus| status.pending_steps == 0 && status.holders.len() == VOTERS.len();
+                |status: &RolloutStatus| status.pending_steps == 0 && status.members.len() == VOTERS.len();
             if let Some(status) = status.filter(settled) {
                 return Some(status);
             }
@@ -110,10 +110,13 @@
     assert_eq!(fleet.history().await, recorded);
     all_act_on_milk_quota(&fleet, 50.0).await;
     let leader = settled_leader(&fleet).await;
-    assert_eq!((leader.active, leader.newest, leader.blocked_by), (recording.active, 2, None));
+    assert_eq!(
+        (leader.active_version, leader.newest_proposal, leader.blocked_by),
+        (recording.active, 2, None)
+    );
     for id in VOTERS {
         let status = fleet.status(id).await;
-        assert_eq!((status.not_voting_reason, status.voter), (None, Some(id)));
+        assert_eq!((status.not_voting_reason, status.voter_id), (None, Some(id)));
     }
     assert_eq!(fleet.propose_over(2, milk_quota(33)).await, 3);
     all_act_on_milk_quota(&fleet, 33.0).await;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -26,7 +26,7 @@
         voter: voting.map(|(id, data)| nickelflow_control_plane::VoterConfig { id, data_dir: data }),
         lease: settings.lease_config().map_err(|e| e.to_string())?,
         local_lease: settings.local_lease_config().map_err(|e| e.to_string())?,
-        build: env!("CARGO_PKG_VERSION").to_owned(),
+        program_version: env!("CARGO_PKG_VERSION").to_owned(),
     };
     nickelflow_daemon::rules_conversion::begin(config, settings.listen).await.map_err(|e| e.to_string())
 }
