--- a/crates/control-plane/src/clock.rs
+++ b/crates/control-plane/src/clock.rs
@@ -1,31 +1,31 @@
-//! The clock that leases are measured by.
+//! The monotonic clock that measures leases.
 
 use std::time::{Duration, Instant};
 
 use nickelflow_rollout::Nanos;
 
-/// Nanoseconds in a millisecond, in which operators are shown times.
+/// Nanoseconds per millisecond, the unit of the times that are shown to operators.
 pub const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// The monotonic clock of this process, in nanoseconds from when it was started. It goes on while the process
-/// is stopped.
+/// A monotonic clock that counts nanoseconds from its start. It keeps running while the process is stopped
+/// by a signal.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
 }
 
 impl Clock {
-    /// Starts the clock.
+    /// Creates a clock that starts at zero now.
     pub fn start() -> Clock {
         Clock { started: Instant::now() }
     }
 
-    /// Returns the time since the start (ns).
+    /// Returns the time since the clock was started (ns).
     pub fn now(&self) -> Nanos {
         self.started.elapsed().as_nanos() as Nanos
     }
 
-    /// Returns the moment at which this clock shows `time` (ns).
+    /// Converts a time of this clock (ns) to an [`Instant`].
     pub fn instant(&self, time: Nanos) -> Instant {
         self.started + Duration::from_nanos(time)
     }
--- a/crates/control-plane/src/command.rs
+++ b/crates/control-plane/src/command.rs
@@ -1,58 +1,59 @@
-//! The commands of the replicated log, and what they lead to.
+//! The commands of the replicated log, and the outcomes of applying them.
 //!
-//! Both are postcard, in the log on disk and between voters: it stores the order, number and types of fields
-//! and variants, which must not change.
+//! Both types are encoded as postcard, in the log on disk and between voters. The encoding depends on the
+//! order, number and types of fields and variants, so these must not change.
 
 use std::collections::BTreeMap;
 
 use nickelflow_rollout::{CommandError, RulesDocument, Version};
 use serde::{Deserialize, Serialize};
 
-/// A change of the rules that is made by committing it to the log.
+/// A change that takes effect when it is committed to the log.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Command {
-    /// Changes nothing. Once it is committed, so is everything before it.
+    /// Changes nothing. When it is committed, all entries before it are committed too.
     ReadBarrier,
-    /// Makes this document the first rules.
+    /// Makes this document the first proposal.
     Bootstrap(RulesDocument),
-    /// Makes a document the newest proposal.
+    /// Appends a document as the newest proposal.
     Propose {
-        /// The newest proposal that the operator knows of; the command is rejected if there is a newer one.
+        /// The newest proposal that the operator has seen. The command is rejected if a newer one exists.
         base: u64,
         /// The proposed rules.
         document: RulesDocument,
     },
-    /// Proposes the document of an earlier proposal again.
+    /// Appends the document of an earlier proposal as the newest proposal.
     RollBack {
-        /// The newest proposal that the operator knows of; the command is rejected if there is a newer one.
+        /// The newest proposal that the operator has seen. The command is rejected if a newer one exists.
         base: u64,
         /// The number of the earlier proposal.
         to: u64,
     },
-    /// Makes the scheduler of this name a member.
+    /// Adds the scheduler with this name to the membership.
     Join(String),
-    /// Ends the membership of the scheduler of this name, which must not act on any rules any more.
+    /// Removes the scheduler with this name from the membership. The scheduler must have stopped acting on
+    /// rules.
     Leave(String),
-    /// Makes the next step the active one.
+    /// Activates the next step.
     Advance {
-        /// The version that must still be active, or else nothing changes.
+        /// The active version that the leader saw. Nothing changes if another version is active.
         from: Version,
-        /// The version that each lease holder has acknowledged.
+        /// The latest version that each lease holder has acknowledged.
         acknowledged: BTreeMap<String, Version>,
     },
 }
 
-/// What a committed entry of the log has led to.
+/// The outcome of applying a committed log entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum CommandOutcome {
-    /// Nothing: an entry of the Raft library, or a read barrier.
+    /// The entry changes no rules: it belongs to the Raft library or is a read barrier.
     Nothing,
-    /// The command was applied; the number of the proposal or version that it has made, or 0.
+    /// The command was applied. Holds the number of the proposal or version that it created, or 0.
     Applied(u64),
-    /// The rules do not allow it.
+    /// The current state of the rollout does not allow the command.
     Rejected(CommandError),
-    /// It needs rules, and there are none yet.
+    /// The command needs rules, and none have been bootstrapped.
     NotBootstrapped,
-    /// There are rules already.
+    /// The rules have already been bootstrapped.
     AlreadyBootstrapped,
 }
--- a/crates/control-plane/src/config.rs
+++ b/crates/control-plane/src/config.rs
@@ -1,4 +1,4 @@
-//! The settings of a process.
+//! The configuration of a process's control plane.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -7,31 +7,31 @@
 
 use crate::peer_client::Address;
 
-/// What a process is configured with.
+/// The configuration of a scheduler process.
 #[derive(Clone, Debug)]
 pub struct ControlPlaneConfig {
-    /// The name of the fleet. Processes of another one reject its messages.
+    /// The name of the fleet. Processes of other fleets reject messages from this process.
     pub fleet: String,
-    /// The name of this scheduler, under which it is a member.
+    /// The name of this scheduler, by which the membership identifies it.
     pub name: String,
-    /// The addresses of all voters by number, as this process reaches them.
+    /// The addresses at which this process reaches the voters, by voter id.
     pub voters: BTreeMap<u64, Address>,
-    /// Set if this process is a voter itself.
+    /// Set if this process is a voter.
     pub voter: Option<VoterConfig>,
-    /// The times of leases; all processes must have the same.
+    /// The lease timing. It must be the same in all processes.
     pub lease: LeaseConfig,
-    /// The times by which this process takes its own leases to last. They differ from `lease` only in fault
-    /// injection, which shows that they must not.
+    /// The lease timing that this process applies to its own leases. It differs from `lease` only in fault
+    /// injection, which demonstrates that a difference is unsafe.
     pub local_lease: LeaseConfig,
-    /// The version of the program, for the status.
+    /// The version of the program, as reported in the status.
     pub program_version: String,
 }
 
-/// What a voter is configured with.
+/// The configuration of a voter.
 #[derive(Clone, Debug)]
 pub struct VoterConfig {
-    /// Its number.
+    /// The voter id.
     pub id: u64,
-    /// Its data folder, which was made by [`prepare_data_dir`](crate::prepare_data_dir).
+    /// The voter's data folder, as created by [`prepare_data_dir`](crate::prepare_data_dir).
     pub data_dir: PathBuf,
 }
--- a/crates/control-plane/src/http_server.rs
+++ b/crates/control-plane/src/http_server.rs
@@ -1,4 +1,4 @@
-//! The listener for requests of other processes: connections, the checks of each request, and its limits.
+//! The HTTP server for requests of other processes: accepts connections, validates requests and limits them.
 
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -22,40 +22,41 @@
 use crate::peer_error::PeerError;
 use crate::request_handler::RequestHandler;
 
-/// Connections of other processes at a time. More wait in the listener's backlog.
+/// The maximum number of open connections. Further ones wait in the listener's backlog.
 const MAX_CONNECTIONS: usize = 1_024;
-/// Requests of each path that are read or answered at a time, for each may be large.
+/// The maximum number of requests in flight per path. It bounds memory, because each request may be large.
 const MAX_CONCURRENT_REQUESTS: usize = 64;
-/// Bytes that are read of a request's head, and at once of its body.
-const READ_BUFFER_BYTES: usize = 64 << 10;
-/// How long a request's head may take.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a request's body may take.
-const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long the answer may take.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// The pause after a failed accept. Descriptors are lacking mostly, and some must be closed first.
+/// The size of a connection's read buffer. It limits the request's headers, and each read of its body.
+const MAX_READ_BUFFER_BYTES: usize = 64 << 10;
+/// The timeout for reading a request's headers.
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// The timeout for reading a request's body.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// The timeout for handling a request.
+const HANDLER_TIMEOUT: Duration = Duration::from_secs(10);
+/// The backoff after a failed accept. The usual cause is a lack of file descriptors, which lasts until some
+/// are closed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Why a request is rejected before it is handled.
+/// Why a request is rejected without a [`PeerResponse`].
 #[derive(Clone, Copy, Debug, Error)]
 enum RequestError {
     #[error("only POST /rules and /voters are answered here")]
     UnknownPath,
     #[error("this process belongs to another fleet")]
-    OtherFleet,
+    WrongFleet,
     #[error("this process speaks format 1")]
-    OtherFormat,
+    UnsupportedFormat,
     #[error("the body is too large")]
-    TooLarge,
+    BodyTooLarge,
     #[error("ending")]
     ShuttingDown,
     #[error("the body is too large, or broke off")]
-    BrokenBody,
+    BodyReadFailed,
     #[error("the body came too slowly")]
-    SlowBody,
+    BodyTimeout,
     #[error("the body cannot be read")]
-    Undecodable,
+    UndecodableBody,
     #[error("the answer cannot be written")]
     UnencodableResponse,
 }
@@ -64,12 +65,12 @@
     fn status(self) -> StatusCode {
         match self {
             RequestError::UnknownPath => StatusCode::NOT_FOUND,
-            RequestError::OtherFleet => StatusCode::FORBIDDEN,
-            RequestError::OtherFormat => StatusCode::UPGRADE_REQUIRED,
-            RequestError::TooLarge | RequestError::BrokenBody => StatusCode::PAYLOAD_TOO_LARGE,
+            RequestError::WrongFleet => StatusCode::FORBIDDEN,
+            RequestError::UnsupportedFormat => StatusCode::UPGRADE_REQUIRED,
+            RequestError::BodyTooLarge | RequestError::BodyReadFailed => StatusCode::PAYLOAD_TOO_LARGE,
             RequestError::ShuttingDown => StatusCode::SERVICE_UNAVAILABLE,
-            RequestError::SlowBody => StatusCode::REQUEST_TIMEOUT,
-            RequestError::Undecodable => StatusCode::BAD_REQUEST,
+            RequestError::BodyTimeout => StatusCode::REQUEST_TIMEOUT,
+            RequestError::UndecodableBody => StatusCode::BAD_REQUEST,
             RequestError::UnencodableResponse => StatusCode::INTERNAL_SERVER_ERROR,
         }
     }
@@ -81,7 +82,7 @@
     }
 }
 
-/// Reads requests, checks them, and hands them to the handler.
+/// Reads and validates requests, and passes them to the handler.
 pub struct HttpServer {
     handler: Arc<RequestHandler>,
     rules_permits: Semaphore,
@@ -89,7 +90,7 @@
 }
 
 impl HttpServer {
-    /// Creates the server of a handler.
+    /// Creates a server that passes requests to this handler.
     pub fn new(handler: Arc<RequestHandler>) -> HttpServer {
         HttpServer {
             handler,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Accepts connections for as long as this runs. If it is cancelled, all its connections are closed.
+    /// Accepts connections until it is cancelled, which closes all its connections.
     pub async fn listen(self: Arc<Self>, listener: TcpListener) {
         let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
         let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
@@ -110,35 +111,35 @@
                 continue;
             };
             connections.spawn(self.clone().serve_connection(socket, permit));
-            // Those that have ended are dropped.
+            // Discards the results of connections that have ended.
             while connections.try_join_next().is_some() {}
         }
     }
 
     async fn serve_connection(self: Arc<Self>, socket: TcpStream, permit: OwnedSemaphorePermit) {
-        // Without it answers are only slower.
+        // A failure only makes responses slower.
         let _ = socket.set_nodelay(true);
         let service = service_fn(move |request| self.clone().serve(request));
-        let served = hyper::server::conn::http1::Builder::new()
+        let result = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD_TIMEOUT)
-            .max_buf_size(READ_BUFFER_BYTES)
+            .header_read_timeout(HEADER_READ_TIMEOUT)
+            .max_buf_size(MAX_READ_BUFFER_BYTES)
             .serve_connection(TokioIo::new(socket), service)
             .await;
-        // A connection that broke needs no answer.
-        drop((served, permit));
+        // An error means that the connection is broken: there is nobody to respond to.
+        drop((result, permit));
     }
 
     async fn serve(self: Arc<Self>, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
-        Ok(self.answer(request).await.unwrap_or_else(RequestError::response))
+        Ok(self.process(request).await.unwrap_or_else(RequestError::response))
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, RequestError> {
-        let permits = self.check_head(&request)?;
-        // Held until the answer is written, for its memory.
+    async fn process(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, RequestError> {
+        let permits = self.check_headers(&request)?;
+        // Held until the response is encoded, to bound the memory in use.
         let _permit = permits.acquire().await.map_err(|_| RequestError::ShuttingDown)?;
         let request = read_request(request).await?;
-        let response = match tokio::time::timeout(ANSWER_TIMEOUT, self.handler.handle(request)).await {
+        let response = match tokio::time::timeout(HANDLER_TIMEOUT, self.handler.handle(request)).await {
             Ok(response) => response,
             Err(_) => PeerResponse::Error(PeerError::NoQuorum("no answer in time".to_owned())),
         };
@@ -146,8 +147,8 @@
         Ok(Response::new(Full::new(Bytes::from(bytes))))
     }
 
-    /// Checks a request's head, and returns the permits of its path.
-    fn check_head(&self, request: &Request<Incoming>) -> Result<&Semaphore, RequestError> {
+    /// Checks a request's method, path and headers, and returns the semaphore of its path.
+    fn check_headers(&self, request: &Request<Incoming>) -> Result<&Semaphore, RequestError> {
         let permits = match (request.method(), request.uri().path()) {
             (&Method::POST, RULES_PATH) => &self.rules_permits,
             (&Method::POST, RAFT_PATH) => &self.raft_permits,
@@ -155,31 +156,31 @@
         };
         let header = |name: &str| request.headers().get(name).map_or(&b""[..], |value| value.as_bytes());
         if header(FLEET_HEADER) != self.handler.fleet().as_bytes() {
-            return Err(RequestError::OtherFleet);
+            return Err(RequestError::WrongFleet);
         }
         if header(FORMAT_HEADER) != FORMAT.as_bytes() {
-            return Err(RequestError::OtherFormat);
+            return Err(RequestError::UnsupportedFormat);
         }
         if request.body().size_hint().lower() > MAX_MESSAGE_BYTES as u64 {
-            return Err(RequestError::TooLarge);
+            return Err(RequestError::BodyTooLarge);
         }
         Ok(permits)
     }
 }
 
-/// Reads a request's body, which must be a request of its path.
+/// Reads a request's body and decodes it. A message that belongs to the other path is rejected.
 async fn read_request(request: Request<Incoming>) -> Result<PeerRequest, RequestError> {
     let path = request.uri().path().to_owned();
     let body = Limited::new(request.into_body(), MAX_MESSAGE_BYTES).collect();
-    let body = match tokio::time::timeout(BODY_TIMEOUT, body).await {
+    let body = match tokio::time::timeout(BODY_READ_TIMEOUT, body).await {
         Ok(Ok(body)) => body.to_bytes(),
-        Ok(Err(_)) => return Err(RequestError::BrokenBody),
-        Err(_) => return Err(RequestError::SlowBody),
+        Ok(Err(_)) => return Err(RequestError::BodyReadFailed),
+        Err(_) => return Err(RequestError::BodyTimeout),
     };
-    let request = postcard::from_bytes::<PeerRequest>(&body).map_err(|_| RequestError::Undecodable)?;
+    let request = postcard::from_bytes::<PeerRequest>(&body).map_err(|_| RequestError::UndecodableBody)?;
     if request.path() == path {
         Ok(request)
     } else {
-        Err(RequestError::Undecodable)
+        Err(RequestError::UndecodableBody)
     }
 }
--- a/crates/control-plane/src/leader_service.rs
+++ b/crates/control-plane/src/leader_service.rs
@@ -1,5 +1,4 @@
-//! What the leader does: it grants leases once a quorum has confirmed that it leads, and advances the
-//! rollout.
+//! The leader's service: grants leases after a quorum has confirmed its leadership, and advances the rollout.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,30 +17,30 @@
 use crate::state_machine::StateMachine;
 use crate::status::{MemberStatus, RolloutStatus};
 
-/// How often the leader checks whether the next step can be activated, while there is one: often compared
-/// with a lease, which is what a step mostly waits for.
+/// How often the leader checks whether the next step can be activated. It is short compared with the lease
+/// duration, because a step mostly waits for leases to expire.
 const ROLLOUT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The leader's part of a voter. It serves requests only while its voter leads.
+/// The part of a voter that acts as the leader. It serves requests only while its voter leads.
 pub struct LeaderService {
     id: u64,
     raft: Raft,
     state_machine: StateMachine,
     lease: LeaseConfig,
     clock: Clock,
-    /// `None` until the voter leads for the first time.
+    /// The leases of the latest term in which the voter led, or `None` if it has never led.
     term_leases: Mutex<Option<TermLeases>>,
     confirmer: LeadershipConfirmer,
 }
 
-/// The leases that were granted in one term. Those of earlier terms are not known.
+/// The leases that this voter granted in one term as the leader. It does not know the leases of earlier terms.
 struct TermLeases {
     term: u64,
     table: LeaseTable,
 }
 
 impl LeaderService {
-    /// Starts the service of the voter `id`; `tasks` owns what runs in the background.
+    /// Starts the service of the voter `id`. Its background tasks are added to `tasks`.
     pub fn start(
         id: u64,
         raft: Raft,
@@ -62,7 +61,7 @@
         leading_term(self.id, &self.raft)
     }
 
-    /// Returns the number of the leader, as far as this voter knows.
+    /// Returns the id of the leader that this voter knows of.
     pub fn leader(&self) -> Option<u64> {
         self.raft.metrics().borrow().current_leader
     }
@@ -71,8 +70,8 @@
         PeerError::NotLeader(self.leader())
     }
 
-    /// Runs `operation` on the leases of this term, under their lock, with the time. Returns `None` if this
-    /// voter does not lead.
+    /// Runs `operation` on the lease table of this term with the current time, under the table's lock. Returns
+    /// `None` if this voter does not lead.
     fn with_lease_table<T>(&self, operation: impl FnOnce(&mut LeaseTable, Nanos) -> T) -> Option<T> {
         let term = self.term()?;
         let now = self.clock.now();
@@ -80,19 +79,19 @@
         match &mut *term_leases {
             Some(leases) if leases.term == term => Some(operation(&mut leases.table, now)),
             other => {
-                // Newly elected: every lease of an earlier term was requested before now.
+                // Newly elected: every lease of an earlier term was requested before this time.
                 let leases = other.insert(TermLeases { term, table: LeaseTable::new(self.lease, now) });
                 Some(operation(&mut leases.table, now))
             }
         }
     }
 
-    /// Grants a lease on the active version to a scheduler, which becomes a member by that.
+    /// Grants a lease on the active version to a scheduler, and adds it to the membership if necessary.
     ///
     /// # Errors
     ///
-    /// Fails if this voter does not lead, no quorum confirms it, there are no rules, the membership is full,
-    /// or another process has taken the name.
+    /// Fails if this voter does not lead, no quorum confirms its leadership, there are no rules, the membership
+    /// is full, or another process has taken the name.
     pub async fn grant_lease(&self, holder: &str, request: LeaseRequest) -> Result<LeaseGrant, PeerError> {
         if self.term().is_none() {
             return Err(self.not_leader());
@@ -102,8 +101,8 @@
             return Err(PeerError::NameTaken);
         }
         self.ensure_member(holder).await?;
-        // The lock of the state machine is held for both: no version may become active between reading the
-        // active one and recording what was granted.
+        // The lock of the state machine is held until the grant is recorded, so that no other version can be
+        // activated after the active one was read.
         let granted = self.state_machine.with_rollout(|rollout| {
             let active = rollout.active();
             self.with_lease_table(|table, now| {
@@ -117,8 +116,8 @@
         }
     }
 
-    /// Makes a scheduler a member if it is none. One that the membership has no place for asks again and
-    /// again, which must not make the log grow.
+    /// Adds a scheduler to the membership if it is not a member. Checks before writing that it can join: a
+    /// scheduler that is turned away by a full membership keeps retrying, and its retries must not grow the log.
     async fn ensure_member(&self, holder: &str) -> Result<(), PeerError> {
         let can_join = self.state_machine.with_rollout(|rollout| rollout.can_join(holder));
         if can_join.ok_or(PeerError::NotBootstrapped)?.map_err(PeerError::Rejected)? {
@@ -127,24 +126,24 @@
         Ok(())
     }
 
-    /// Commits a command to the log, and returns the number that it has led to.
+    /// Commits a command to the log, and returns the number of the proposal or version that it created, or 0.
     ///
     /// # Errors
     ///
     /// Fails if the command is rejected, its document is too large, this voter does not lead, or no quorum
-    /// answers in time. The command may still be committed in the last case.
+    /// responds in time. In the last case the command may still be committed.
     pub async fn write(&self, command: Command) -> Result<u64, PeerError> {
         if let Command::Propose { document, .. } | Command::Bootstrap(document) = &command {
             check_document_size(document)?;
         }
-        let departed = match &command {
+        let leaving_member = match &command {
             Command::Leave(name) => Some(name.clone()),
             _ => None,
         };
         let written = tokio::time::timeout(QUORUM_TIMEOUT, self.raft.client_write(command)).await;
         let written = written.map_err(|_| PeerError::NoQuorum("not written in time".to_owned()))?;
         let response = written.map_err(write_error)?;
-        if let Some(name) = departed {
+        if let Some(name) = leaving_member {
             self.with_lease_table(|table, _| table.remove_departed(&name));
         }
         match response.data {
@@ -156,7 +155,8 @@
         }
     }
 
-    /// Activates step after step while this voter leads. Without pending steps it waits for a change.
+    /// Activates pending steps while this voter leads. Otherwise waits for a change of the state machine or of
+    /// the leadership.
     async fn advance_rollout(self: Arc<Self>) {
         let mut state_changes = self.state_machine.subscribe();
         let mut raft_metrics = self.raft.metrics();
@@ -167,7 +167,7 @@
                 }
                 continue;
             }
-            // Both branches are cancel safe: a watch receiver marks a change as seen only when it reports it.
+            // Both branches are cancel safe: a watch receiver marks a change as seen only when it returns it.
             let changed = tokio::select! {
                 changed = state_changes.changed() => changed,
                 changed = raft_metrics.changed() => changed,
@@ -182,8 +182,8 @@
         self.state_machine.with_rollout(|rollout| rollout.pending_steps() > 0).unwrap_or(false)
     }
 
-    /// Returns whether the next step was activated. A failed write needs no other handling: if this voter has
-    /// lost the lead, the next leader goes on.
+    /// Activates the next step if nothing blocks it, and returns whether it did. A failed write needs no
+    /// further handling: if this voter has lost its leadership, the next leader continues.
     async fn activate_next_step(&self) -> bool {
         match self.next_step_command() {
             Some(command) => self.write(command).await.is_ok(),
@@ -191,8 +191,8 @@
         }
     }
 
-    /// Returns the command that activates the next step, if no scheduler can hold a lease on an earlier
-    /// version than the active one, and nothing else blocks it.
+    /// Returns the command that activates the next step, or `None` if a scheduler may still hold a lease on a
+    /// version before the active one, or something else blocks the step.
     fn next_step_command(&self) -> Option<Command> {
         let command = self.state_machine.with_rollout(|rollout| {
             self.with_lease_table(|table, now| {
@@ -205,25 +205,25 @@
         command.flatten().flatten()
     }
 
-    /// Returns the state of the rollout; `None` if this voter does not lead or there are no rules.
+    /// Returns the state of the rollout, or `None` if this voter does not lead or there are no rules.
     pub fn status(&self) -> Option<RolloutStatus> {
         let status = self.state_machine.with_rollout(|rollout| {
             self.with_lease_table(|table, now| RolloutStatus {
                 active_version: rollout.active().version,
                 newest_proposal: rollout.proposals().last().map_or(0, |proposal| proposal.number),
                 pending_steps: rollout.pending_steps() as u64,
-                blocked_by: blocked_by(rollout, table, now),
+                blocked_by: blocking_reason(rollout, table, now),
                 members: member_statuses(rollout, table, now),
             })
         });
         status.flatten()
     }
 
-    /// Returns the cached proposals, the newest last.
+    /// Returns the cached proposals, newest last.
     ///
     /// # Errors
     ///
-    /// Fails if this voter does not lead, no quorum confirms it, or there are no rules.
+    /// Fails if this voter does not lead, no quorum confirms its leadership, or there are no rules.
     pub async fn history(&self) -> Result<Vec<Proposal>, PeerError> {
         self.confirmer.confirm().await?;
         let proposals = self.state_machine.with_rollout(|rollout| rollout.proposals().cloned().collect());
@@ -231,20 +231,20 @@
     }
 }
 
-/// Returns the version that each member has acknowledged in this term.
+/// Returns the latest version that each member has acknowledged in this term.
 fn acknowledged_versions(rollout: &RolloutState, table: &LeaseTable) -> BTreeMap<String, Version> {
     let acknowledged = |name: &str| Some((name.to_owned(), table.acknowledged(name)?));
     rollout.members().filter_map(|(name, _)| acknowledged(name)).collect()
 }
 
-/// Returns a member that may hold a lease on an earlier version than the active one.
+/// Returns a member that may still hold a lease on a version before the active one.
 fn holder_of_prior_lease<'a>(rollout: &'a RolloutState, table: &LeaseTable, now: Nanos) -> Option<&'a str> {
     let active = rollout.active().version;
     rollout.members().map(|(name, _)| name).find(|name| !table.prior_lease(now, name, active).is_over())
 }
 
-/// Returns what the next step waits for, if there is one.
-fn blocked_by(rollout: &RolloutState, table: &LeaseTable, now: Nanos) -> Option<String> {
+/// Describes what the next step waits for. Returns `None` if no step is pending or nothing blocks it.
+fn blocking_reason(rollout: &RolloutState, table: &LeaseTable, now: Nanos) -> Option<String> {
     if rollout.pending_steps() == 0 {
         return None;
     }
@@ -271,11 +271,11 @@
     rollout.members().map(status).collect()
 }
 
-/// Checks that a document fits into a message.
+/// Checks that a document is small enough for a message.
 ///
 /// # Errors
 ///
-/// Fails if it is larger than [`MAX_DOCUMENT_BYTES`].
+/// Fails if the document is larger than [`MAX_DOCUMENT_BYTES`].
 pub fn check_document_size(document: &RulesDocument) -> Result<(), PeerError> {
     match postcard::to_stdvec(document) {
         Ok(bytes) if bytes.len() <= MAX_DOCUMENT_BYTES => Ok(()),
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,14 +1,15 @@
-//! The control plane: schedulers that agree on rules, around the pure state machines of `nickelflow-rollout`.
+//! The control plane: replicates the rules among schedulers and grants leases on them. The state machines
+//! without I/O are in `nickelflow-rollout`.
 //!
-//! Three or five **voters** replicate a log of proposals and steps by Raft (`openraft`). The **leader**
-//! grants leases on the active version, each only after a quorum has confirmed that it still leads, and
-//! activates the next step once all leases on earlier versions have surely expired. Every scheduler, voter or
-//! not, is a **lease holder**: it asks a voter for its lease, and publishes the rules that it may act on
-//! ([`ActiveRules`]).
+//! Three or five **voters** replicate a log of proposals and steps with Raft (`openraft`). The **leader**
+//! grants leases on the active version and activates the next step. It grants a lease only after a quorum has
+//! confirmed its leadership, and activates a step only after every lease on an earlier version has expired on
+//! its holder's clock as well. Every scheduler, voter or not, is a **lease holder**: it requests a lease from
+//! a voter and publishes the rules that it may act on ([`ActiveRules`]).
 //!
-//! All of this runs on a thread of its own with its own runtime, for the log is flushed to disk before a
-//! request is answered, and no client's request may wait for that. `docs/design/accord.md` weighs the
-//! alternatives.
+//! The control plane runs on a separate thread with its own runtime, because the log is flushed to disk before
+//! a request is answered and client requests must not wait for the flush. `docs/design/accord.md` compares
+//! this design with the alternatives.
 
 mod active_rules;
 mod clock;
--- a/crates/control-plane/src/voter.rs
+++ b/crates/control-plane/src/voter.rs
@@ -220,7 +220,7 @@
     /// The client that asks the voter within the process, once there is one.
     pub lease_client: Arc<LeaseClient>,
     /// Where the voter goes.
-    pub slot: Arc<VoterSlot>,
+    pub voter_slot: Arc<VoterSlot>,
 }
 
 impl VoterOpener {
@@ -230,13 +230,13 @@
         match Voter::open(&self.config, &self.voter, self.peers.clone(), self.clock).await {
             Ok(voter) => {
                 self.lease_client.set_local_voter(id, voter.leader_service.clone());
-                self.slot.set(Ok(Arc::new(voter)));
+                self.voter_slot.set(Ok(Arc::new(voter)));
                 OpenOutcome::Opened
             }
             Err(error) => {
                 warn!(voter = id, why = error.to_string(), "this voter does not vote");
                 let is_transient = error.is_transient();
-                self.slot.set(Err(NotVoting::Failed(Arc::new(error))));
+                self.voter_slot.set(Err(NotVoting::Failed(Arc::new(error))));
                 if is_transient {
                     OpenOutcome::RetryLater
                 } else {
