--- a/crates/control-plane/src/leader_service.rs
+++ b/crates/control-plane/src/leader_service.rs
@@ -13,7 +13,7 @@
 use crate::command::{Command, CommandOutcome};
 use crate::peer_error::{PeerError, MAX_DOCUMENT_BYTES};
 use crate::raft_types::Raft;
-use crate::read_index::{leading_term, write_error, LeadershipConfirmer, QUORUM_TIMEOUT};
+use crate::read_index::{convert_write_error, leading_term, LeadershipConfirmer, QUORUM_TIMEOUT};
 use crate::state_machine::StateMachine;
 use crate::status::{MemberStatus, RolloutStatus};
 
@@ -33,7 +33,8 @@
     confirmer: LeadershipConfirmer,
 }
 
-/// The leases that this voter granted in one term as the leader. It does not know the leases of earlier terms.
+/// The leases that this voter granted in one term as the leader. It does not know the leases of earlier
+/// terms.
 struct TermLeases {
     term: u64,
     table: LeaseTable,
@@ -70,8 +71,8 @@
         PeerError::NotLeader(self.leader())
     }
 
-    /// Runs `operation` on the lease table of this term with the current time, under the table's lock. Returns
-    /// `None` if this voter does not lead.
+    /// Runs `operation` on the lease table of this term with the current time, under the table's lock.
+    /// Returns `None` if this voter does not lead.
     fn with_lease_table<T>(&self, operation: impl FnOnce(&mut LeaseTable, Nanos) -> T) -> Option<T> {
         let term = self.term()?;
         let now = self.clock.now();
@@ -90,8 +91,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if this voter does not lead, no quorum confirms its leadership, there are no rules, the membership
-    /// is full, or another process has taken the name.
+    /// Fails if this voter does not lead, no quorum confirms its leadership, there are no rules, the
+    /// membership is full, or another process has taken the name.
     pub async fn grant_lease(&self, holder: &str, request: LeaseRequest) -> Result<LeaseGrant, PeerError> {
         if self.term().is_none() {
             return Err(self.not_leader());
@@ -117,7 +118,8 @@
     }
 
     /// Adds a scheduler to the membership if it is not a member. Checks before writing that it can join: a
-    /// scheduler that is turned away by a full membership keeps retrying, and its retries must not grow the log.
+    /// scheduler that is turned away by a full membership keeps retrying, and its retries must not grow the
+    /// log.
     async fn ensure_member(&self, holder: &str) -> Result<(), PeerError> {
         let can_join = self.state_machine.with_rollout(|rollout| rollout.can_join(holder));
         if can_join.ok_or(PeerError::NotBootstrapped)?.map_err(PeerError::Rejected)? {
@@ -142,7 +144,7 @@
         };
         let written = tokio::time::timeout(QUORUM_TIMEOUT, self.raft.client_write(command)).await;
         let written = written.map_err(|_| PeerError::NoQuorum("not written in time".to_owned()))?;
-        let response = written.map_err(write_error)?;
+        let response = written.map_err(convert_write_error)?;
         if let Some(name) = leaving_member {
             self.with_lease_table(|table, _| table.remove_departed(&name));
         }
@@ -155,8 +157,8 @@
         }
     }
 
-    /// Activates pending steps while this voter leads. Otherwise waits for a change of the state machine or of
-    /// the leadership.
+    /// Activates pending steps while this voter leads. Otherwise waits for a change of the state machine or
+    /// of the leadership.
     async fn advance_rollout(self: Arc<Self>) {
         let mut state_changes = self.state_machine.subscribe();
         let mut raft_metrics = self.raft.metrics();
--- a/crates/control-plane/src/lease_client.rs
+++ b/crates/control-plane/src/lease_client.rs
@@ -1,4 +1,4 @@
-//! The scheduler's side of leases: it renews its lease in time, and publishes the rules that it may act on.
+//! The lease holder's side: renews this scheduler's lease, and publishes the rules that it may act on.
 
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::Duration;
@@ -17,28 +17,28 @@
 use crate::peer_client::{PeerClient, TransportError};
 use crate::peer_error::PeerError;
 
-/// The shortest pause after a voter that has not granted, until the next one is asked. It is short, for all
-/// schedulers lose their leases together.
+/// The shortest delay before a lease request is retried. It is short because a failure of the leader costs
+/// all schedulers their leases at the same time.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The part of the renewal interval that is random, so that schedulers which began together do not ask
-/// together.
-const JITTER: f64 = 0.25;
+/// The random part of the renewal interval. It keeps schedulers that started together from sending their
+/// requests together.
+const JITTER_FRACTION: f64 = 0.25;
 
-/// The lease of this process.
+/// The client that holds and renews the lease of this process.
 pub struct LeaseClient {
     name: String,
     lease: LeaseConfig,
     clock: Clock,
     peers: PeerClient,
-    /// Set if this process is a voter itself.
+    /// Set once this process has an open voter.
     local_voter: OnceLock<LocalVoter>,
     holder: Mutex<LeaseHolder>,
     active_rules: watch::Sender<Option<ActiveRules>>,
-    /// The voter that granted last, or is said to be the leader.
-    leader: Mutex<Option<u64>>,
+    /// The voter that last responded as the leader, or that another voter named as the leader.
+    known_leader: Mutex<Option<u64>>,
 }
 
-/// The voter in this process, which is asked without its listener.
+/// The voter in this process, which is called directly and not over the network.
 struct LocalVoter {
     id: u64,
     service: Arc<LeaderService>,
@@ -46,16 +46,16 @@
 
 /// The state of a process's lease.
 pub struct LeaseSummary {
-    /// The version that was granted last.
+    /// The version of the latest granted lease.
     pub version: Option<Version>,
-    /// How long the lease still lasts (ms).
+    /// The time until the lease expires (ms); 0 if it has expired.
     pub remaining_ms: u64,
-    /// For how long the lease has lapsed (ms).
+    /// The time since the lease expired (ms); 0 while it is valid.
     pub degraded_ms: u64,
 }
 
 impl LeaseClient {
-    /// Creates the client of this process, which has no lease yet.
+    /// Creates the client of this process, without a lease.
     pub fn new(config: &ControlPlaneConfig, clock: Clock, peers: PeerClient) -> Arc<LeaseClient> {
         let incarnation = fastrand::u64(..);
         Arc::new(LeaseClient {
@@ -66,17 +66,18 @@
             local_voter: OnceLock::new(),
             holder: Mutex::new(LeaseHolder::new(config.local_lease, incarnation)),
             active_rules: watch::channel(None).0,
-            leader: Mutex::new(None),
+            known_leader: Mutex::new(None),
         })
     }
 
-    /// Makes the client ask the voter `id` within this process.
+    /// Makes the client call the voter `id` directly, because it runs in this process.
     pub fn set_local_voter(&self, id: u64, service: Arc<LeaderService>) {
-        // There is one voter in a process; a second one is never set.
+        // A process has one voter, so that a second call never happens.
         let _ = self.local_voter.set(LocalVoter { id, service });
     }
 
-    /// Returns a receiver of the rules that this process may act on; `None` before its first lease.
+    /// Returns a receiver of the rules that this process may act on. Its value is `None` before the first
+    /// lease.
     pub fn subscribe(&self) -> watch::Receiver<Option<ActiveRules>> {
         self.active_rules.subscribe()
     }
@@ -86,11 +87,11 @@
     }
 
     fn known_leader(&self) -> Option<u64> {
-        *self.leader.lock().unwrap_or_else(PoisonError::into_inner)
+        *self.known_leader.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn set_known_leader(&self, leader: Option<u64>) {
-        *self.leader.lock().unwrap_or_else(PoisonError::into_inner) = leader;
+        *self.known_leader.lock().unwrap_or_else(PoisonError::into_inner) = leader;
     }
 
     /// Returns the state of the lease.
@@ -113,9 +114,9 @@
         Duration::from_nanos(self.lease.renewal_interval)
     }
 
-    /// Renews the lease for as long as this runs, with one request at a time, which is given one renewal
-    /// interval. It may be cancelled at any await: a grant that is on its way then is lost, and the lease
-    /// lapses.
+    /// Renews the lease until it is cancelled, with one request in flight, whose timeout is the renewal
+    /// interval. It may be cancelled at any await point: a grant in flight is lost then, and the lease
+    /// expires.
     pub async fn renew_leases(self: Arc<Self>) {
         loop {
             let request = PeerRequest::RequestLease {
@@ -124,44 +125,44 @@
                 request: self.holder().next_request(self.clock.now()),
             };
             let sent_at = Instant::now();
-            let response = self.ask_leader(&request, self.renewal_interval()).await;
+            let response = self.send_to_leader(&request, self.renewal_interval()).await;
             let next_request = self.handle_response(response, sent_at);
             tokio::time::sleep_until(next_request).await;
         }
     }
 
-    /// Takes the response to a lease request, and returns when to send the next one.
+    /// Handles the response to a lease request, and returns when to send the next request.
     fn handle_response(&self, response: Result<PeerResponse, TransportError>, sent_at: Instant) -> Instant {
         let interval = self.renewal_interval();
         let error = match response {
             Ok(PeerResponse::LeaseGranted(grant)) => {
                 self.accept_grant(*grant);
-                return sent_at + interval.mul_f64(1.0 - JITTER + JITTER * fastrand::f64());
+                return sent_at + interval.mul_f64(1.0 - JITTER_FRACTION + JITTER_FRACTION * fastrand::f64());
             }
             Ok(PeerResponse::Error(error)) => Some(error),
             Ok(_) | Err(_) => None,
         };
-        let pause = match error {
+        let retry_delay = match error {
             Some(PeerError::NameTaken) => {
                 warn!(
                     name = self.name,
-                    "another process has this scheduler's name: it gets no lease any more"
+                    "another process uses this scheduler's name: no further lease will be granted"
                 );
                 interval
             }
             Some(why @ PeerError::LeaseMismatch(_)) => {
-                warn!(%why, "no lease for this scheduler");
+                warn!(%why, "lease request rejected: lease durations differ");
                 interval
             }
-            // A full membership or missing rules do not change soon.
+            // A full membership and missing rules are not expected to change soon.
             Some(PeerError::Rejected(_) | PeerError::NotBootstrapped) => interval,
             Some(PeerError::NotLeader(Some(_))) => RETRY_DELAY,
-            Some(_) | None => RETRY_DELAY + interval.mul_f64(JITTER * fastrand::f64()),
+            Some(_) | None => RETRY_DELAY + interval.mul_f64(JITTER_FRACTION * fastrand::f64()),
         };
-        Instant::now() + pause
+        Instant::now() + retry_delay
     }
 
-    /// Takes a grant, and publishes what it changes.
+    /// Accepts a grant, and publishes the new rules or the new lease expiry.
     fn accept_grant(&self, grant: LeaseGrant) {
         let mut holder = self.holder();
         let now = self.clock.now();
@@ -169,7 +170,7 @@
         let lease_expiry = self.clock.instant(holder.expiry());
         let new_rules = match holder.state(now) {
             LeaseState::Active(version, step) if is_new_version => {
-                info!(%version, "rules active");
+                info!(%version, "new rules version active");
                 Some(ActiveRules { version, step: Arc::new(step.clone()), lease_expiry })
             }
             _ => None,
@@ -182,74 +183,79 @@
         });
     }
 
-    /// Asks the leader, as far as it is known, or else any voter; remembers which one to ask next.
+    /// Sends a request to the known leader, or to a random voter if none is known. Uses the response to
+    /// decide which voter the next request goes to.
     ///
     /// # Errors
     ///
-    /// Fails if no voter is configured, or the one that was asked does not answer within `limit`.
-    async fn ask_leader(
+    /// Fails if no voter is configured, or the chosen voter does not respond within `timeout`.
+    async fn send_to_leader(
         &self,
         request: &PeerRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<PeerResponse, TransportError> {
         let voters: Vec<u64> = self.peers.voters().keys().copied().collect();
-        let any_voter = || fastrand::choice(&voters).copied();
-        let voter = self.known_leader().or_else(any_voter).ok_or(TransportError::NoVoters)?;
-        let response = self.ask_voter(voter, request, limit).await;
-        self.set_known_leader(leader_after(voter, &response));
+        let random_voter = || fastrand::choice(&voters).copied();
+        let voter = self.known_leader().or_else(random_voter).ok_or(TransportError::NoVoters)?;
+        let response = self.send_to_voter(voter, request, timeout).await;
+        self.set_known_leader(next_voter(voter, &response));
         response
     }
 
-    async fn ask_voter(
+    async fn send_to_voter(
         &self,
         voter: u64,
         request: &PeerRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<PeerResponse, TransportError> {
         let local_voter = self.local_voter.get().filter(|local| local.id == voter);
         let Some(LocalVoter { service, .. }) = local_voter else {
-            return self.peers.send_to_voter(voter, request, limit).await;
+            return self.peers.send_to_voter(voter, request, timeout).await;
         };
-        // Without its listener, but with no more time than another voter has.
-        let late = |_| TransportError::Timeout { peer: format!("voter {voter}"), limit };
+        // The local voter is called directly, with the same timeout as a remote one.
+        let timeout_error = |_| TransportError::Timeout { peer: format!("voter {voter}"), timeout };
         match request {
             PeerRequest::RequestLease { holder, request, .. } => {
-                let granted = tokio::time::timeout(limit, service.grant_lease(holder, *request)).await;
-                let granted = granted.map_err(late)?;
+                let granted = tokio::time::timeout(timeout, service.grant_lease(holder, *request)).await;
+                let granted = granted.map_err(timeout_error)?;
                 Ok(granted
                     .map_or_else(PeerResponse::Error, |grant| PeerResponse::LeaseGranted(Box::new(grant))))
             }
             PeerRequest::Command(command) => {
-                let written = tokio::time::timeout(limit, service.write(command.clone())).await;
-                let written = written.map_err(late)?;
+                let written = tokio::time::timeout(timeout, service.write(command.clone())).await;
+                let written = written.map_err(timeout_error)?;
                 Ok(written.map_or_else(PeerResponse::Error, PeerResponse::Applied))
             }
-            _ => self.peers.send_to_voter(voter, request, limit).await,
+            _ => self.peers.send_to_voter(voter, request, timeout).await,
         }
     }
 
-    /// Ends this scheduler's membership; the caller must not act on any rules any more. Tries for `limit`,
-    /// each voter for `attempt`. If no voter takes it, the scheduler stays a member until an operator removes
-    /// it, or it starts again under its name.
-    pub async fn leave(&self, limit: Duration, attempt: Duration) {
+    /// Ends this scheduler's membership. The caller must have stopped acting on rules. Retries until
+    /// `timeout` is over, with `attempt_timeout` for each attempt. If no voter confirms the change, the
+    /// scheduler stays a member until an operator removes it or a process with its name starts and leaves.
+    pub async fn leave(&self, timeout: Duration, attempt_timeout: Duration) {
         let request = PeerRequest::Command(Command::Leave(self.name.clone()));
-        // Cancelled in the middle of an attempt, the leave may be committed all the same, which does no harm.
-        let left = tokio::time::timeout(limit, async {
-            while !matches!(self.ask_leader(&request, attempt).await, Ok(PeerResponse::Applied(_))) {
+        // If an attempt is cancelled, the change may still be committed, which does no harm.
+        let left = tokio::time::timeout(timeout, async {
+            while !matches!(
+                self.send_to_leader(&request, attempt_timeout).await,
+                Ok(PeerResponse::Applied(_))
+            ) {
                 tokio::time::sleep(RETRY_DELAY).await;
             }
         });
         if left.await.is_err() {
-            warn!(name = self.name, "no leader has confirmed that this scheduler left the membership");
+            warn!(name = self.name, "no leader confirmed that this scheduler left the membership");
         }
     }
 }
 
-/// Returns the voter to ask next, if one is known, after `voter` has given this response.
-fn leader_after(voter: u64, response: &Result<PeerResponse, TransportError>) -> Option<u64> {
+/// Returns the voter that the next request goes to, after `voter` has given this response. `None` stands for
+/// a random voter.
+fn next_voter(voter: u64, response: &Result<PeerResponse, TransportError>) -> Option<u64> {
     match response {
         Ok(PeerResponse::Error(PeerError::NotLeader(leader))) => leader.filter(|leader| *leader != voter),
-        // Only a leader gives these.
+        // Only a leader returns these errors.
         Ok(PeerResponse::Error(
             PeerError::Rejected(_) | PeerError::NameTaken | PeerError::NotBootstrapped,
         )) => Some(voter),
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -7,9 +7,9 @@
 //! its holder's clock as well. Every scheduler, voter or not, is a **lease holder**: it requests a lease from
 //! a voter and publishes the rules that it may act on ([`ActiveRules`]).
 //!
-//! The control plane runs on a separate thread with its own runtime, because the log is flushed to disk before
-//! a request is answered and client requests must not wait for the flush. `docs/design/accord.md` compares
-//! this design with the alternatives.
+//! The control plane runs on a separate thread with its own runtime, because the log is flushed to disk
+//! before a request is answered and client requests must not wait for the flush. `docs/design/accord.md`
+//! compares this design with the alternatives.
 
 mod active_rules;
 mod clock;
--- a/crates/control-plane/src/messages.rs
+++ b/crates/control-plane/src/messages.rs
@@ -1,7 +1,8 @@
-//! The messages between schedulers, and from operators to them: postcard in the body of an HTTP request.
+//! The messages between schedulers, and between operators and schedulers: postcard in the bodies of HTTP
+//! requests and responses.
 //!
-//! Postcard stores the order, number and types of fields and variants, which must not change: programs of two
-//! builds would read each other wrongly.
+//! The encoding depends on the order, number and types of fields and variants. These must not change, or two
+//! versions of the program would misread each other's messages.
 
 use std::collections::BTreeSet;
 
@@ -17,17 +18,17 @@
 use crate::raft_types::{InstallSnapshotRpcError, RaftRpcError, TypeConfig};
 use crate::status::SchedulerStatus;
 
-/// Bytes of a message, at most: some entries of the log, each with a document of 20,000 workers.
+/// The maximum size of a message. Several log entries fit into it, each with a document of 20,000 workers.
 pub const MAX_MESSAGE_BYTES: usize = 32 << 20;
 
-/// The format of the messages, as [`FORMAT_HEADER`] states it. A process of another format rejects them.
+/// The message format, sent in [`FORMAT_HEADER`]. A process that uses another format rejects the message.
 pub const FORMAT: &str = "1";
-/// The header with the format of the message.
+/// The HTTP header that holds the message format.
 pub const FORMAT_HEADER: &str = "nickelflow-format";
-/// The header with the name of the fleet that the sender belongs to.
+/// The HTTP header that holds the name of the sender's fleet.
 pub const FLEET_HEADER: &str = "nickelflow-fleet";
 
-/// The path of requests of the Raft library. They have one of their own, for they must not queue behind lease
+/// The path of the Raft library's requests. It is separate so that these requests don't queue behind lease
 /// requests while there is no quorum.
 pub const RAFT_PATH: &str = "/voters";
 /// The path of all other requests.
@@ -36,35 +37,35 @@
 /// A request to another process.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Raft's request to append entries to the log, or its heartbeat.
+    /// Raft's `AppendEntries` request, which is also the heartbeat.
     AppendEntries(AppendEntriesRequest<TypeConfig>),
-    /// Raft's request for a vote.
+    /// Raft's `RequestVote` request.
     Vote(VoteRequest<u64>),
-    /// Raft's request to take over a chunk of a snapshot.
+    /// Raft's request to install a chunk of a snapshot.
     InstallSnapshot(InstallSnapshotRequest<TypeConfig>),
-    /// A scheduler asks the leader for its lease.
+    /// A scheduler's request for a lease, served by the leader.
     RequestLease {
         /// The name of the scheduler.
         holder: String,
-        /// The lease duration that it is configured with (ns). The leader must have the same.
+        /// The lease duration that the scheduler is configured with (ns). The leader's must be the same.
         lease_duration: u64,
-        /// The process that asks, and the version that it acts on.
+        /// The requesting process, and the version that it acts on.
         request: LeaseRequest,
     },
-    /// A command for the log; only the leader takes it.
+    /// A command for the log, accepted only by the leader.
     Command(Command),
-    /// The operator's request, made once, to begin with this document.
+    /// The operator's request to bootstrap the fleet with this document. It succeeds once.
     Bootstrap(RulesDocument),
-    /// The operator's request that these be the voters from now on.
+    /// The operator's request to replace the set of voters.
     ChangeVoters(BTreeSet<u64>),
-    /// Asks the leader for the cached proposals.
+    /// A request for the cached proposals, served by the leader.
     History,
-    /// Asks a process for its state.
+    /// A request for the status of the process that receives it.
     Status,
 }
 
 impl PeerRequest {
-    /// Returns the path of the HTTP request.
+    /// Returns the path of the HTTP request that carries this message.
     pub fn path(&self) -> &'static str {
         match self {
             PeerRequest::AppendEntries(_) | PeerRequest::Vote(_) | PeerRequest::InstallSnapshot(_) => {
@@ -75,23 +76,24 @@
     }
 }
 
-/// The answer to a [`PeerRequest`].
+/// The response to a [`PeerRequest`].
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// To [`PeerRequest::AppendEntries`].
+    /// The response to [`PeerRequest::AppendEntries`].
     AppendEntries(Result<AppendEntriesResponse<u64>, RaftRpcError>),
-    /// To [`PeerRequest::Vote`].
+    /// The response to [`PeerRequest::Vote`].
     Vote(Result<VoteResponse<u64>, RaftRpcError>),
-    /// To [`PeerRequest::InstallSnapshot`].
+    /// The response to [`PeerRequest::InstallSnapshot`].
     InstallSnapshot(Result<InstallSnapshotResponse<u64>, InstallSnapshotRpcError>),
-    /// To [`PeerRequest::RequestLease`].
+    /// The response to [`PeerRequest::RequestLease`].
     LeaseGranted(Box<LeaseGrant>),
-    /// To a command that was applied: the number of the proposal or version that it has made, or 0.
+    /// The response to a request that was applied: the number of the proposal or version that it created, or
+    /// 0.
     Applied(u64),
-    /// To [`PeerRequest::History`]: the cached proposals, the newest last.
+    /// The response to [`PeerRequest::History`]: the cached proposals, newest last.
     History(Vec<Proposal>),
-    /// To [`PeerRequest::Status`].
+    /// The response to [`PeerRequest::Status`].
     Status(Box<SchedulerStatus>),
-    /// The request was not served.
+    /// The reason why the request was not served.
     Error(PeerError),
 }
--- a/crates/control-plane/src/peer_client.rs
+++ b/crates/control-plane/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! The transport to other processes: one HTTP request, bounded in size and time.
+//! The client for requests to other processes: one HTTP request per message, limited in size and time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,60 +13,60 @@
 
 use crate::messages::{PeerRequest, PeerResponse, FLEET_HEADER, FORMAT, FORMAT_HEADER, MAX_MESSAGE_BYTES};
 
-/// Where a process listens for the others: `host:port`.
+/// The address on which a process listens for other processes: `host:port`.
 pub type Address = String;
 
-/// The longest wait for a connection: as long as the shortest election timeout.
+/// The timeout for connecting. It equals the shortest election timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an unused connection is kept open: far longer than the pause between two heartbeats or renewals.
+/// How long an idle connection stays open. It is far longer than the interval of heartbeats and of renewals.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Unused connections to one process that are kept open, so that Raft's and other requests have one each.
+/// The maximum number of idle connections per process: one for Raft requests and one for other requests.
 const MAX_IDLE_CONNECTIONS_PER_HOST: usize = 2;
-/// Bytes of the text of a rejection that are quoted.
+/// How much of a rejection's text is quoted in an error.
 const MAX_QUOTED_BYTES: usize = 200;
 
-/// Why a process could not be asked, or its answer not be read.
+/// Why a request could not be sent, or its response not be received.
 #[derive(Debug, Error)]
 pub enum TransportError {
-    /// No voter is configured, so that there is nobody to ask.
+    /// No voter is configured.
     #[error("no voter is configured")]
     NoVoters,
-    /// The voter of this number is not configured.
-    #[error("no address of voter {0} is configured")]
+    /// No address is configured for the voter with this id.
+    #[error("no address is configured for voter {0}")]
     UnknownVoter(u64),
-    /// The peer has not answered in time.
-    #[error("{peer}: no answer within {} ms", .limit.as_millis())]
+    /// The peer did not respond in time.
+    #[error("{peer}: no response within {} ms", .timeout.as_millis())]
     Timeout {
-        /// The address of the peer, or `voter` and its number.
+        /// The address of the peer, or `voter` and its id.
         peer: String,
-        /// How long it was given.
-        limit: Duration,
+        /// The timeout of the request.
+        timeout: Duration,
     },
-    /// The request is larger than `MAX_MESSAGE_BYTES`.
+    /// The encoded request is larger than `MAX_MESSAGE_BYTES`.
     #[error("{address}: the message is too large")]
     TooLarge {
         /// The address of the peer.
         address: Address,
     },
-    /// The peer has rejected the request before it was read.
+    /// The peer rejected the HTTP request, so that its response is not a message.
     #[error("{address}: {reason}")]
     Rejected {
         /// The address of the peer.
         address: Address,
-        /// The beginning of the response's body.
+        /// The first bytes of the response's body.
         reason: String,
     },
-    /// The message cannot be written or read, or the connection failed.
+    /// A message could not be encoded or decoded, or the connection failed.
     #[error("{address}: {source}")]
     Exchange {
         /// The address of the peer.
         address: Address,
-        /// What failed.
+        /// The underlying error.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
 }
 
-/// The transport to other processes of one fleet.
+/// A client for requests to the processes of one fleet. Clones share its connections.
 #[derive(Clone)]
 pub struct PeerClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -75,7 +75,7 @@
 }
 
 impl PeerClient {
-    /// Creates the transport of a fleet; `voters` are the addresses of the voters by number.
+    /// Creates the client of a fleet. `voters` holds the addresses of the voters by id.
     pub fn new(fleet: String, voters: BTreeMap<u64, Address>) -> PeerClient {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -88,44 +88,44 @@
         PeerClient { client, fleet, voters }
     }
 
-    /// Returns the addresses of the voters by number.
+    /// Returns the addresses of the voters by id.
     pub fn voters(&self) -> &BTreeMap<u64, Address> {
         &self.voters
     }
 
-    /// Asks the process at an address.
+    /// Sends a request to the process at an address, and returns its response.
     ///
     /// # Errors
     ///
-    /// Fails if the exchange fails or takes longer than `limit`; its connection is closed then. An answer
-    /// that says no is an [`Ok`] with a [`PeerResponse::Error`].
+    /// Fails if the request fails or takes longer than `timeout`; its connection is closed then. A request
+    /// that the peer declines is an [`Ok`] with a [`PeerResponse::Error`].
     pub async fn send(
         &self,
         address: &str,
         request: &PeerRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<PeerResponse, TransportError> {
-        let exchange = tokio::time::timeout(limit, self.exchange(address, request)).await;
-        exchange.unwrap_or_else(|_| Err(TransportError::Timeout { peer: address.to_owned(), limit }))
+        let exchange = tokio::time::timeout(timeout, self.exchange(address, request)).await;
+        exchange.unwrap_or_else(|_| Err(TransportError::Timeout { peer: address.to_owned(), timeout }))
     }
 
-    /// Asks a voter by its number; else the same as [`send`](Self::send).
+    /// Sends a request to the voter with an id, and returns its response.
     ///
     /// # Errors
     ///
-    /// Fails as [`send`](Self::send) does, and if the voter is not configured.
+    /// Fails as [`send`](Self::send) does, and if no address is configured for the voter.
     pub async fn send_to_voter(
         &self,
         id: u64,
         request: &PeerRequest,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<PeerResponse, TransportError> {
         let address = self.voters.get(&id).ok_or(TransportError::UnknownVoter(id))?;
-        self.send(address, request, limit).await
+        self.send(address, request, timeout).await
     }
 
     async fn exchange(&self, address: &str, request: &PeerRequest) -> Result<PeerResponse, TransportError> {
-        let body = postcard::to_stdvec(request).map_err(|e| exchange_error(address, e))?;
+        let body = postcard::to_stdvec(request).map_err(|e| transport_error(address, e))?;
         if body.len() > MAX_MESSAGE_BYTES {
             return Err(TransportError::TooLarge { address: address.to_owned() });
         }
@@ -133,20 +133,20 @@
             .header(FLEET_HEADER, &self.fleet)
             .header(FORMAT_HEADER, FORMAT)
             .body(Full::new(Bytes::from(body)))
-            .map_err(|e| exchange_error(address, e))?;
-        let response = self.client.request(request).await.map_err(|e| exchange_error(address, e))?;
+            .map_err(|e| transport_error(address, e))?;
+        let response = self.client.request(request).await.map_err(|e| transport_error(address, e))?;
         let status = response.status();
         let body = Limited::new(response.into_body(), MAX_MESSAGE_BYTES).collect().await;
-        let body = body.map_err(|e| exchange_error(address, e))?.to_bytes();
+        let body = body.map_err(|e| transport_error(address, e))?.to_bytes();
         if status != StatusCode::OK {
             let reason = String::from_utf8_lossy(&body[..body.len().min(MAX_QUOTED_BYTES)]).into_owned();
             return Err(TransportError::Rejected { address: address.to_owned(), reason });
         }
-        postcard::from_bytes(&body).map_err(|e| exchange_error(address, e))
+        postcard::from_bytes(&body).map_err(|e| transport_error(address, e))
     }
 }
 
-fn exchange_error(
+fn transport_error(
     address: &str,
     source: impl Into<Box<dyn std::error::Error + Send + Sync>>,
 ) -> TransportError {
--- a/crates/control-plane/src/peer_error.rs
+++ b/crates/control-plane/src/peer_error.rs
@@ -1,42 +1,43 @@
-//! Why a process has not done what it was asked for.
+//! The errors that a process returns for requests that it does not serve.
 
 use nickelflow_rollout::CommandError;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Bytes of a proposed document in postcard, at most.
+/// The maximum size of a proposed document, encoded as postcard.
 pub const MAX_DOCUMENT_BYTES: usize = 4 << 20;
 
-/// The reason that a peer gives for not serving a request.
+/// The reason why a peer did not serve a request.
 ///
-/// It travels between processes as postcard: the order and the types of the variants must not change.
+/// It is sent between processes as postcard, so the order and types of its variants must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub enum PeerError {
-    /// It is not the leader; it names the voter that is, as far as it knows.
+    /// The peer is not the leader. Holds the id of the leader, if the peer knows it.
     #[error("{}", not_leader(.0))]
     NotLeader(Option<u64>),
-    /// It has no log: it is not a voter, or its data folder cannot be used.
+    /// The peer has no log: it is not a voter, its data folder cannot be used, or it is shutting down. Holds
+    /// the reason.
     #[error("it does not vote: {0}")]
     NotVoter(String),
-    /// The rules do not allow the command.
+    /// The current state of the rollout does not allow the command.
     #[error("{0}")]
     Rejected(CommandError),
-    /// There are no rules yet.
+    /// No rules have been bootstrapped.
     #[error("no rules have been founded yet")]
     NotBootstrapped,
-    /// There are rules already.
+    /// The rules have already been bootstrapped.
     #[error("rules have been founded already")]
     AlreadyBootstrapped,
-    /// Another process has taken the name of the one that asks.
+    /// Another process has taken over the name of the requesting process.
     #[error("another process has taken this one's name")]
     NameTaken,
-    /// The document has more than `MAX_DOCUMENT_BYTES`.
+    /// The document is larger than `MAX_DOCUMENT_BYTES`.
     #[error("the document is larger than {MAX_DOCUMENT_BYTES} bytes")]
     DocumentTooLarge,
-    /// The lease duration of the one that asks is not this one's, which is given in milliseconds.
+    /// The requesting process has another lease duration than the peer. Holds the peer's duration (ms).
     #[error("a lease lasts {0} ms here, and must at all")]
     LeaseMismatch(u64),
-    /// No quorum of the voters has answered in time.
+    /// No quorum of the voters confirmed the request in time. Holds the reason.
     #[error("no majority of the voters answers: {0}")]
     NoQuorum(String),
 }
--- a/crates/control-plane/src/raft_network.rs
+++ b/crates/control-plane/src/raft_network.rs
@@ -1,4 +1,4 @@
-//! The network of the Raft library: one HTTP request for each of its remote procedure calls.
+//! The network layer of the Raft library: sends each of its remote procedure calls as one HTTP request.
 
 use std::time::Duration;
 
@@ -14,10 +14,11 @@
 use crate::peer_client::{PeerClient, TransportError};
 use crate::raft_types::TypeConfig;
 
-/// The pause after a voter could not be reached. It is short, for a mended link must not cost an election.
+/// The backoff after a voter could not be reached. It is short so that a restored link does not cause an
+/// election.
 const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The connection to one voter.
+/// The client for one voter.
 pub struct VoterConnection {
     peers: PeerClient,
     id: u64,
@@ -32,13 +33,13 @@
 fn unexpected_response<E: std::error::Error>(response: &PeerResponse) -> RpcError<E> {
     let reason = match response {
         PeerResponse::Error(error) => error.to_string(),
-        _ => "answered something else".to_owned(),
+        _ => "unexpected response type".to_owned(),
     };
     RPCError::Network(NetworkError::new(&std::io::Error::other(reason)))
 }
 
 impl VoterConnection {
-    async fn ask(&self, request: &PeerRequest, option: &RPCOption) -> Result<PeerResponse, TransportError> {
+    async fn send(&self, request: &PeerRequest, option: &RPCOption) -> Result<PeerResponse, TransportError> {
         self.peers.send_to_voter(self.id, request, option.hard_ttl()).await
     }
 }
@@ -49,7 +50,7 @@
         rpc: AppendEntriesRequest<TypeConfig>,
         option: RPCOption,
     ) -> Result<AppendEntriesResponse<u64>, RpcError> {
-        match self.ask(&PeerRequest::AppendEntries(rpc), &option).await.map_err(unreachable)? {
+        match self.send(&PeerRequest::AppendEntries(rpc), &option).await.map_err(unreachable)? {
             PeerResponse::AppendEntries(result) => result.map_err(|e| RemoteError::new(self.id, e).into()),
             other => Err(unexpected_response(&other)),
         }
@@ -60,7 +61,7 @@
         rpc: InstallSnapshotRequest<TypeConfig>,
         option: RPCOption,
     ) -> Result<InstallSnapshotResponse<u64>, RpcError<InstallSnapshotError>> {
-        match self.ask(&PeerRequest::InstallSnapshot(rpc), &option).await.map_err(unreachable)? {
+        match self.send(&PeerRequest::InstallSnapshot(rpc), &option).await.map_err(unreachable)? {
             PeerResponse::InstallSnapshot(result) => result.map_err(|e| RemoteError::new(self.id, e).into()),
             other => Err(unexpected_response(&other)),
         }
@@ -71,7 +72,7 @@
         rpc: VoteRequest<u64>,
         option: RPCOption,
     ) -> Result<VoteResponse<u64>, RpcError> {
-        match self.ask(&PeerRequest::Vote(rpc), &option).await.map_err(unreachable)? {
+        match self.send(&PeerRequest::Vote(rpc), &option).await.map_err(unreachable)? {
             PeerResponse::Vote(result) => result.map_err(|e| RemoteError::new(self.id, e).into()),
             other => Err(unexpected_response(&other)),
         }
--- a/crates/control-plane/src/raft_types.rs
+++ b/crates/control-plane/src/raft_types.rs
@@ -1,4 +1,4 @@
-//! The type parameters of the Raft library, filled in for this program.
+//! The types of the Raft library with this program's type parameters.
 
 use std::io::Cursor;
 
@@ -7,7 +7,7 @@
 use crate::command::{Command, CommandOutcome};
 
 openraft::declare_raft_types!(
-    /// The types that the replicated log, its state machine and its snapshots are made of.
+    /// The types of the replicated log, its state machine and its snapshots.
     pub TypeConfig:
         D = Command,
         R = CommandOutcome,
@@ -18,17 +18,17 @@
 
 /// A voter's handle of the Raft library.
 pub type Raft = openraft::Raft<TypeConfig>;
-/// Why a voter has not answered an `AppendEntries` or a `Vote` request.
+/// The error of an `AppendEntries` or a `Vote` request.
 pub type RaftRpcError = RaftError<u64>;
-/// Why a voter has not answered an `InstallSnapshot` request.
+/// The error of an `InstallSnapshot` request.
 pub type InstallSnapshotRpcError = RaftError<u64, InstallSnapshotError>;
-/// A fault of the storage, which the Raft library does not survive.
+/// A storage error. The Raft library stops when it gets one.
 pub type RaftStorageError = openraft::StorageError<u64>;
-/// The leader's term and the index of an entry of the log.
+/// The id of a log entry: the leader's term and the entry's index.
 pub type LogId = openraft::LogId<u64>;
 /// An entry of the log.
 pub type Entry = openraft::Entry<TypeConfig>;
-/// The voters and learners, and the entry of the log that made them so.
+/// The voters and learners, and the log entry that set them.
 pub type Membership = openraft::StoredMembership<u64, openraft::EmptyNode>;
-/// What a snapshot contains, beside its data.
+/// The metadata of a snapshot.
 pub type SnapshotMeta = openraft::SnapshotMeta<u64, openraft::EmptyNode>;
--- a/crates/control-plane/src/read_index.rs
+++ b/crates/control-plane/src/read_index.rs
@@ -1,4 +1,4 @@
-//! Raft's read index: the confirmation by a quorum that a voter still leads, before it answers for its state.
+//! Raft's read index: a quorum confirms that this voter still leads before it serves a read of its state.
 
 use std::time::Duration;
 
@@ -11,42 +11,42 @@
 use crate::peer_error::PeerError;
 use crate::raft_types::Raft;
 
-/// The longest wait for a quorum. Whoever asks waits longer than that.
+/// The longest wait for a quorum. Clients must use longer timeouts.
 pub const QUORUM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Requests that one confirmation serves, at most.
-const MAX_BATCH: usize = 1_024;
-/// Requests that may wait for a confirmation: one of each scheduler of the largest fleet.
-const MAX_WAITING: usize = 4_096;
+/// The maximum number of requests that one confirmation serves.
+const MAX_BATCH_SIZE: usize = 1_024;
+/// The maximum number of queued requests: one from each scheduler of the largest fleet.
+const MAX_QUEUED_REQUESTS: usize = 4_096;
 
-/// Whether this process has committed a read barrier in its present term.
+/// Whether this process has committed a read barrier in the current term.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReadBarrier {
     Committed,
-    Missing,
+    NotCommitted,
 }
 
-/// The answer to one request.
+/// The result of one request for confirmation.
 type Confirmation = Result<(), PeerError>;
 
-/// Confirms on request that this voter leads.
+/// Confirms the leadership of this voter on request. Concurrent requests share one round to the quorum.
 pub struct LeadershipConfirmer {
     requests: mpsc::Sender<oneshot::Sender<Confirmation>>,
 }
 
 impl LeadershipConfirmer {
-    /// Starts the task that asks the quorum, for the voter `id`; `tasks` owns it.
+    /// Starts the confirmer of the voter `id`. Its task is added to `tasks`.
     pub fn start(id: u64, raft: Raft, tasks: &mut JoinSet<()>) -> LeadershipConfirmer {
-        let (requests, waiting) = mpsc::channel(MAX_WAITING);
-        tasks.spawn(confirm_batches(id, raft, waiting));
+        let (requests, request_receiver) = mpsc::channel(MAX_QUEUED_REQUESTS);
+        tasks.spawn(confirm_batches(id, raft, request_receiver));
         LeadershipConfirmer { requests }
     }
 
-    /// Waits until a quorum has confirmed that this voter leads, and everything that was committed before is
-    /// applied to its state machine.
+    /// Waits until a quorum has confirmed that this voter leads, and every entry that was committed before
+    /// the call has been applied to its state machine.
     ///
     /// # Errors
     ///
-    /// Fails if this voter does not lead, or no quorum answers in time, or too many requests wait already.
+    /// Fails if this voter does not lead, no quorum responds in time, or the queue of requests is full.
     pub async fn confirm(&self) -> Confirmation {
         let (sender, confirmation) = oneshot::channel();
         let queued = self.requests.try_send(sender);
@@ -55,37 +55,42 @@
     }
 }
 
-/// Returns the term in which the voter `id` leads, if it does as far as it knows.
+/// Returns the current term if the voter `id` considers itself the leader.
 pub fn leading_term(id: u64, raft: &Raft) -> Option<u64> {
     let metrics = raft.metrics();
     let metrics = metrics.borrow();
     (metrics.current_leader == Some(id)).then_some(metrics.current_term)
 }
 
-/// Converts the Raft library's reason for not committing an entry.
-pub fn write_error(error: RaftError<u64, ClientWriteError<u64, EmptyNode>>) -> PeerError {
+/// Converts the Raft library's error for an entry that was not committed.
+pub fn convert_write_error(error: RaftError<u64, ClientWriteError<u64, EmptyNode>>) -> PeerError {
     match error {
         RaftError::APIError(ClientWriteError::ForwardToLeader(to)) => PeerError::NotLeader(to.leader_id),
         other => PeerError::NoQuorum(other.to_string()),
     }
 }
 
-fn check_error(error: RaftError<u64, CheckIsLeaderError<u64, EmptyNode>>) -> PeerError {
+fn convert_check_error(error: RaftError<u64, CheckIsLeaderError<u64, EmptyNode>>) -> PeerError {
     match error {
         RaftError::APIError(CheckIsLeaderError::ForwardToLeader(to)) => PeerError::NotLeader(to.leader_id),
         other => PeerError::NoQuorum(other.to_string()),
     }
 }
 
-/// Asks the quorum once for all requests that wait by then, until there are no senders any more.
-async fn confirm_batches(id: u64, raft: Raft, mut waiting: mpsc::Receiver<oneshot::Sender<Confirmation>>) {
+/// Confirms the leadership once for all requests that are queued by then, in a loop. Returns when all senders
+/// have been dropped.
+async fn confirm_batches(
+    id: u64,
+    raft: Raft,
+    mut request_receiver: mpsc::Receiver<oneshot::Sender<Confirmation>>,
+) {
     let mut batch = Vec::new();
     let mut barrier_term = None;
-    while waiting.recv_many(&mut batch, MAX_BATCH).await > 0 {
+    while request_receiver.recv_many(&mut batch, MAX_BATCH_SIZE).await > 0 {
         let term = leading_term(id, &raft);
-        let barrier = if barrier_term == term { ReadBarrier::Committed } else { ReadBarrier::Missing };
-        let asked = confirm_once(&raft, barrier);
-        let confirmation = match tokio::time::timeout(QUORUM_TIMEOUT, asked).await {
+        let barrier = if barrier_term == term { ReadBarrier::Committed } else { ReadBarrier::NotCommitted };
+        let confirming = confirm_once(&raft, barrier);
+        let confirmation = match tokio::time::timeout(QUORUM_TIMEOUT, confirming).await {
             Ok(confirmation) => confirmation,
             Err(_) => Err(PeerError::NoQuorum("not confirmed in time".to_owned())),
         };
@@ -93,21 +98,22 @@
             barrier_term = term;
         }
         for request in batch.drain(..) {
-            // One that waits no more needs no answer.
+            // A requester that has stopped waiting needs no result.
             let _ = request.send(confirmation.clone());
         }
     }
 }
 
-/// Asks the quorum once; in each term this voter first commits a read barrier.
+/// Confirms the leadership with one round to the quorum. In each term this voter first commits a read
+/// barrier.
 ///
-/// A leader that was killed and comes back within its term leads again at once. The library then takes for
-/// committed only what it knows to be, and would confirm an old state. Once an entry of this process is
-/// committed, so is all of its log.
+/// A leader that is killed and restarted within its term leads again at once. The library then treats as
+/// committed only the entries that it knows to be committed, and would confirm an old state. When an entry of
+/// this process is committed, the whole log before that entry is committed too.
 async fn confirm_once(raft: &Raft, barrier: ReadBarrier) -> Confirmation {
-    if barrier == ReadBarrier::Missing {
-        raft.client_write(Command::ReadBarrier).await.map_err(write_error)?;
+    if barrier == ReadBarrier::NotCommitted {
+        raft.client_write(Command::ReadBarrier).await.map_err(convert_write_error)?;
     }
-    raft.ensure_linearizable().await.map_err(check_error)?;
+    raft.ensure_linearizable().await.map_err(convert_check_error)?;
     Ok(())
 }
--- a/crates/control-plane/src/request_handler.rs
+++ b/crates/control-plane/src/request_handler.rs
@@ -1,4 +1,4 @@
-//! What a process answers to each request of another one, or of an operator.
+//! The handler of requests from other processes and from operators.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 use crate::status::SchedulerStatus;
 use crate::voter::{Voter, VoterSlot};
 
-/// Answers requests.
+/// Handles requests with the local voter, if this process has one.
 pub struct RequestHandler {
     config: Arc<ControlPlaneConfig>,
     lease_client: Arc<LeaseClient>,
     voter: Arc<VoterSlot>,
-    /// Set once this process has left the membership, and stops voting.
+    /// Set once this process has left the membership and stops voting.
     shutting_down: AtomicBool,
 }
 
@@ -32,17 +32,17 @@
         RequestHandler { config, lease_client, voter, shutting_down: AtomicBool::new(false) }
     }
 
-    /// Returns the name of the fleet whose requests are answered.
+    /// Returns the name of the fleet whose requests are accepted.
     pub fn fleet(&self) -> &str {
         &self.config.fleet
     }
 
-    /// Rejects all requests from now on.
+    /// Makes the handler reject all requests.
     pub fn shut_down(&self) {
         self.shutting_down.store(true, Ordering::Relaxed);
     }
 
-    /// Answers a request. It may be cancelled: a command may still be committed then.
+    /// Handles a request, and returns the response. If it is cancelled, a command may still be committed.
     pub async fn handle(&self, request: PeerRequest) -> PeerResponse {
         if self.shutting_down.load(Ordering::Relaxed) {
             return PeerResponse::Error(PeerError::NotVoter("it ends".to_owned()));
@@ -57,7 +57,7 @@
     }
 
     async fn handle_as_voter(&self, voter: &Voter, request: PeerRequest) -> PeerResponse {
-        let served = match request {
+        let result = match request {
             PeerRequest::AppendEntries(rpc) => {
                 return PeerResponse::AppendEntries(voter.raft.append_entries(rpc).await);
             }
@@ -82,7 +82,7 @@
             PeerRequest::History => voter.leader_service.history().await.map(PeerResponse::History),
             PeerRequest::Status => Ok(PeerResponse::Status(Box::new(self.status()))),
         };
-        served.unwrap_or_else(PeerResponse::Error)
+        result.unwrap_or_else(PeerResponse::Error)
     }
 
     async fn grant_lease(
--- a/crates/control-plane/src/state_machine.rs
+++ b/crates/control-plane/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state machine: the rollout of rules, which the same log makes the same on all voters.
+//! The replicated state machine: applies the log to the rollout of the rules.
 
 use std::io::Cursor;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,7 +14,7 @@
 use crate::raft_types::{Entry, LogId, Membership, RaftStorageError, SnapshotMeta, TypeConfig};
 use crate::store::{Store, StoreError};
 
-/// The snapshot id of a state to which no entry has been applied.
+/// The id of a snapshot to which no entry has been applied.
 const EMPTY_SNAPSHOT_ID: &str = "none";
 
 /// Why the state machine cannot be loaded.
@@ -28,8 +28,8 @@
     Snapshot(#[source] postcard::Error),
 }
 
-/// The state that the log leads to. A snapshot is this in postcard: the order and the types of the fields
-/// must not change.
+/// The state that results from applying the log. A snapshot is this struct encoded as postcard, so the order
+/// and types of its fields must not change.
 #[derive(Clone, Default, Serialize, Deserialize)]
 struct StateMachineData {
     /// `None` until the rules are bootstrapped.
@@ -38,17 +38,17 @@
     membership: Membership,
 }
 
-/// The state machine as it is now. Clones share it.
+/// A handle to the state machine. Clones share its state.
 #[derive(Clone)]
 pub struct StateMachine {
     data: Arc<Mutex<StateMachineData>>,
-    /// Notified of each change of the data.
+    /// Notifies its receivers of each change of the data.
     changes: watch::Sender<()>,
     store: Store,
 }
 
 impl StateMachine {
-    /// Loads the last snapshot; the Raft library applies the log after it.
+    /// Loads the last snapshot. The Raft library applies the log entries after it.
     ///
     /// # Errors
     ///
@@ -65,12 +65,13 @@
         self.data.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads the rollout, under the lock of the data; returns `None` until the rules are bootstrapped.
+    /// Calls `read` with the rollout, under the lock of the data. Returns `None` until the rules are
+    /// bootstrapped.
     pub fn with_rollout<T>(&self, read: impl FnOnce(&RolloutState) -> T) -> Option<T> {
         self.data().rollout.as_ref().map(read)
     }
 
-    /// Returns a receiver that is notified of each change.
+    /// Returns a receiver that is notified of each change of the data.
     pub fn subscribe(&self) -> watch::Receiver<()> {
         self.changes.subscribe()
     }
@@ -99,13 +100,13 @@
             }
             (Command::Bootstrap(_), Some(_)) => CommandOutcome::AlreadyBootstrapped,
             (_, None) => CommandOutcome::NotBootstrapped,
-            (command, Some(rollout)) => change_rollout(rollout, term, command),
+            (command, Some(rollout)) => apply_rollout_command(rollout, term, command),
         }
     }
 }
 
-/// Applies a command that needs rules.
-fn change_rollout(rollout: &mut RolloutState, term: u64, command: Command) -> CommandOutcome {
+/// Applies a command to bootstrapped rules.
+fn apply_rollout_command(rollout: &mut RolloutState, term: u64, command: Command) -> CommandOutcome {
     let result = match command {
         Command::Bootstrap(_) | Command::ReadBarrier => return CommandOutcome::Nothing,
         Command::Propose { base, document } => rollout.propose(base, document),
@@ -116,7 +117,7 @@
             Ok(0)
         }
         Command::Advance { from, acknowledged } => {
-            // A message that came twice, or one of an earlier leader, must not advance a later step.
+            // A duplicate command, or one from an earlier leader, must not activate a later step.
             let still_active = rollout.active().version == from;
             let version = still_active.then(|| rollout.advance(term, &acknowledged)).flatten();
             Ok(version.map_or(0, |Version { number, .. }| number))
@@ -156,7 +157,7 @@
     {
         let mut outcomes = Vec::new();
         {
-            // One lock for all entries: a reader sees them all or none.
+            // The lock is held for all entries, so that a reader sees all of them or none.
             let mut data = self.data();
             outcomes.extend(entries.into_iter().map(|entry| data.apply_entry(entry)));
         }
--- a/crates/control-plane/src/status.rs
+++ b/crates/control-plane/src/status.rs
@@ -1,59 +1,60 @@
-//! What a process reports of itself to operators.
+//! The status that a process reports to operators.
 //!
-//! These types travel as postcard: the order and the types of their fields must not change.
+//! These types are sent as postcard, so the order and types of their fields must not change.
 
 use nickelflow_rollout::Version;
 use serde::{Deserialize, Serialize};
 
-/// The state of one process.
+/// The status of a scheduler process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SchedulerStatus {
-    /// The scheduler's name, under which it is a member.
+    /// The scheduler's name, by which the membership identifies it.
     pub name: String,
     /// The version of the program.
     pub program_version: String,
-    /// The version that it was last granted a lease on.
+    /// The version of the latest lease that it was granted.
     pub version: Option<Version>,
-    /// How long that lease still lasts (ms).
+    /// The time until that lease expires (ms); 0 if it has expired.
     pub lease_remaining_ms: u64,
-    /// For how long it has acted on degraded rules (ms); 0 while it has a lease.
+    /// How long it has been acting on degraded rules (ms); 0 while it has a lease.
     pub degraded_ms: u64,
-    /// T: how long after a version became active a scheduler may still act on the one before, at most (ms).
+    /// T: the maximum time for which a scheduler may still act on the previous version after a new version
+    /// has become active (ms).
     pub max_overlap_ms: u64,
-    /// Why it does not vote, or what is wrong with its data folder; `None` if it votes.
+    /// The reason why it does not vote, or the fault of its data folder; `None` if it votes.
     pub not_voting_reason: Option<String>,
-    /// Its number as a voter, if it is configured as one.
+    /// Its voter id, if it is configured as a voter.
     pub voter_id: Option<u64>,
-    /// The number of the leader, as far as it knows.
+    /// The id of the leader, if it knows it.
     pub leader_id: Option<u64>,
-    /// The state of the rollout; only the leader reports it.
+    /// The status of the rollout, reported only by the leader.
     pub rollout: Option<RolloutStatus>,
 }
 
-/// The state of the rollout, as the leader knows it.
+/// The status of the rollout, as known to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutStatus {
     /// The active version.
     pub active_version: Version,
     /// The number of the newest proposal.
     pub newest_proposal: u64,
-    /// Steps between the active one and the newest proposal.
+    /// The number of steps from the active one to the newest proposal.
     pub pending_steps: u64,
-    /// What the next step waits for.
+    /// The reason why the next step cannot be activated yet.
     pub blocked_by: Option<String>,
-    /// All members.
+    /// The status of each member.
     pub members: Vec<MemberStatus>,
 }
 
-/// A member's lease, as the leader knows it.
+/// The status of a member's lease, as known to the leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The scheduler's name.
     pub name: String,
-    /// The version that it has acknowledged to this leader.
+    /// The latest version that the member has acknowledged to this leader.
     pub acknowledged_version: Option<Version>,
-    /// The earliest version that it may still act on, if only on its degraded rules.
+    /// The earliest version that the member may still act on, at least by its degraded rules.
     pub earliest_version: Version,
-    /// How long until its lease has surely expired (ms); 0 if it has.
+    /// The time until its lease has expired in any case, clock drift included (ms); 0 if it has expired.
     pub lease_remaining_ms: u64,
 }
--- a/crates/control-plane/src/store/errors.rs
+++ b/crates/control-plane/src/store/errors.rs
@@ -1,35 +1,35 @@
-//! What can be wrong with a voter's data folder.
+//! The errors of a voter's data folder.
 
 use std::path::PathBuf;
 
 use redb::{DatabaseError, StorageError};
 use thiserror::Error;
 
-/// Why something could not be read from the file, or written to it.
+/// Why the file could not be read or written.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The file cannot be read or written now, for the disk is full or fails. That may pass.
+    /// The file cannot be read or written, because the disk is full or fails. A later attempt may succeed.
     #[error(transparent)]
     Database(Box<redb::Error>),
-    /// The file could not be opened again after a fault. That may pass.
+    /// The file could not be reopened after a fault. A later attempt may succeed.
     #[error("not open")]
     Closed,
-    /// What is in the file, or is to be written to it, cannot be decoded or encoded.
+    /// A value cannot be decoded from the file's content, or cannot be encoded.
     #[error(transparent)]
-    Content(#[from] postcard::Error),
+    Codec(#[from] postcard::Error),
 }
 
 impl StoreError {
-    /// Converts any error of the database.
+    /// Wraps any error of the database.
     pub(super) fn database(error: impl Into<redb::Error>) -> StoreError {
         StoreError::Database(Box::new(error.into()))
     }
 
-    /// Whether the same may succeed later.
+    /// Returns whether a later attempt may succeed.
     pub(super) fn is_transient(&self) -> bool {
         match self {
             StoreError::Database(_) | StoreError::Closed => true,
-            StoreError::Content(_) => false,
+            StoreError::Codec(_) => false,
         }
     }
 }
@@ -37,20 +37,21 @@
 /// Why a voter's file cannot be opened.
 #[derive(Debug, Error)]
 pub enum OpenError {
-    /// There is no such file.
+    /// The file does not exist.
     #[error(
-        "{}: is not there. If this voter has never voted, prepare its folder; else replace it", .file.display()
+        "{}: is not there. If this voter has never voted, prepare its folder; \
+        else replace it", .file.display()
     )]
     Missing {
         /// The voter's file.
         file: PathBuf,
     },
-    /// The file is no sound database, or is in use, or the disk fails.
+    /// The file is not a valid database or is in use, or the disk fails.
     #[error("{}: {source}", .file.display())]
     Database {
         /// The voter's file.
         file: PathBuf,
-        /// What the database reports.
+        /// The error of the database.
         source: DatabaseError,
     },
     /// The header cannot be read.
@@ -58,7 +59,7 @@
     Header {
         /// The voter's file.
         file: PathBuf,
-        /// What is wrong with it.
+        /// The error of reading the header.
         source: StoreError,
     },
     /// The file has no header.
@@ -82,16 +83,16 @@
     WrongOwner {
         /// The voter's file.
         file: PathBuf,
-        /// The number of the voter that it belongs to.
+        /// The id of the voter that the file belongs to.
         voter: u64,
-        /// The fleet of that voter.
+        /// The fleet of the voter that the file belongs to.
         fleet: String,
     },
 }
 
 impl OpenError {
-    /// Whether the file may be opened later: its disk fails, or the process that had it before has not ended
-    /// yet.
+    /// Returns whether a later attempt may succeed: the disk fails, or an earlier process still has the file
+    /// open.
     pub fn is_transient(&self) -> bool {
         match self {
             OpenError::Database { source, .. } => matches!(
@@ -115,10 +116,10 @@
     Io {
         /// The folder or the file.
         path: PathBuf,
-        /// What the system reports.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// There is a voter's file in the folder already.
+    /// The folder already contains a voter's file.
     #[error("{}: is there already", .file.display())]
     AlreadyExists {
         /// The voter's file.
@@ -129,7 +130,7 @@
     Database {
         /// The file that was to be created.
         file: PathBuf,
-        /// What the database reports.
+        /// The error of the database.
         source: DatabaseError,
     },
     /// The header cannot be written.
@@ -137,7 +138,7 @@
     Header {
         /// The file that was to be created.
         file: PathBuf,
-        /// What went wrong.
+        /// The error of writing the header.
         source: StoreError,
     },
 }
--- a/crates/control-plane/src/store/log_storage.rs
+++ b/crates/control-plane/src/store/log_storage.rs
@@ -1,4 +1,4 @@
-//! The log and the vote, as the Raft library reads and writes them.
+//! The Raft library's interface to the log and the vote.
 
 use std::fmt::Debug;
 use std::ops::{Bound, RangeBounds};
--- a/crates/control-plane/src/store/mod.rs
+++ b/crates/control-plane/src/store/mod.rs
@@ -1,7 +1,7 @@
-//! A voter's data folder: its vote, its log and its last snapshot, in one `redb` file.
+//! A voter's data folder: one `redb` file with the vote, the log and the last snapshot.
 //!
-//! The database checksums the file, flushes each write before it counts as done, and recovers the last
-//! complete write after a crash.
+//! The database checksums the file, flushes each write before it reports success, and recovers the state of
+//! the last complete write after a crash.
 
 mod errors;
 mod file;
@@ -20,24 +20,25 @@
 pub use errors::{OpenError, PrepareError, StoreError};
 pub use file::prepare_data_dir;
 
-/// The pause between two attempts to read or write a file whose disk fails.
+/// The backoff between two attempts to read or write the file while its disk fails.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// A voter's file. Clones share it.
+/// A handle to a voter's file. Clones share it.
 ///
-/// A write that fails is retried until it is on disk: the Raft library stops for good at a failed one, and
-/// whoever waits for the write must not get an answer before. `redb` rejects everything that follows a failed
-/// write, so that the file is closed and opened again each time, which recovers its last complete write.
+/// A write that fails is retried until it is on disk, because the Raft library stops permanently at a failed
+/// write, and a caller that waits for the write must not get a result before it is on disk. `redb` rejects
+/// all operations after a failed write. The file is therefore closed and reopened after each failure, which
+/// recovers the last complete write.
 #[derive(Clone)]
 pub struct Store {
-    inner: Arc<Inner>,
+    inner: Arc<StoreInner>,
 }
 
-struct Inner {
+struct StoreInner {
     file: PathBuf,
-    /// `None` while it could not be opened again after a fault.
+    /// `None` if the file could not be reopened after a fault.
     database: Mutex<Option<Database>>,
-    /// What is wrong with the file now.
+    /// The current fault of the file, if there is one.
     fault: Mutex<Option<String>>,
 }
 
@@ -46,24 +47,24 @@
 }
 
 impl Store {
-    /// Opens the file of a voter, which must belong to this voter of this fleet.
+    /// Opens a voter's file, whose header must name this voter of this fleet.
     ///
     /// # Errors
     ///
-    /// Fails if there is no such file, it is damaged or another voter's, or its disk fails.
-    pub fn open(folder: &Path, fleet: &str, voter: u64) -> Result<Store, OpenError> {
-        let file = file::file_in(folder);
-        let database = file::open_owned(&file, fleet, voter)?;
-        let inner = Inner { file, database: Mutex::new(Some(database)), fault: Mutex::default() };
+    /// Fails if the file does not exist, is damaged or belongs to another voter, or the disk fails.
+    pub fn open(data_dir: &Path, fleet: &str, voter: u64) -> Result<Store, OpenError> {
+        let file = file::file_path(data_dir);
+        let database = file::open_for_voter(&file, fleet, voter)?;
+        let inner = StoreInner { file, database: Mutex::new(Some(database)), fault: Mutex::default() };
         Ok(Store { inner: Arc::new(inner) })
     }
 
-    /// Returns what is wrong with the file now, while something is.
+    /// Returns the current fault of the file, if there is one.
     pub fn fault(&self) -> Option<String> {
         lock(&self.inner.fault).clone()
     }
 
-    /// Writes a snapshot in the place of the last one.
+    /// Replaces the last snapshot.
     pub async fn write_snapshot(&self, meta: &SnapshotMeta, data: &[u8]) -> Result<(), StoreError> {
         self.write_value(file::SNAPSHOT_KEY, &(meta, data)).await
     }
@@ -81,15 +82,16 @@
         self.retry(|database| file::get_value(database, key)).await
     }
 
-    /// Makes a change in one transaction, and returns once it is on disk.
+    /// Applies a change in one transaction, and returns when it is on disk.
     async fn write<T>(
         &self,
         change: impl Fn(&WriteTransaction) -> Result<T, StoreError>,
     ) -> Result<T, StoreError> {
-        self.retry(|database| file::write_once(database, &change)).await
+        self.retry(|database| file::write_transaction(database, &change)).await
     }
 
-    /// Runs an operation again and again until the disk lets it succeed; it fails only for faulty content.
+    /// Runs an operation, and retries it while the disk fails. Returns an error only if a value cannot be
+    /// decoded or encoded.
     async fn retry<T>(
         &self,
         operation: impl Fn(&Database) -> Result<T, StoreError>,
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Runs an operation once. The lock is held for all of it: the file has one writer, and must not be
+    /// Runs an operation once. It holds the lock throughout, because the file has one writer and must not be
     /// opened twice.
     fn attempt<T>(&self, operation: &impl Fn(&Database) -> Result<T, StoreError>) -> Result<T, StoreError> {
         let mut database = lock(&self.inner.database);
@@ -115,7 +117,7 @@
         }
         let result = database.as_ref().map_or(Err(StoreError::Closed), operation);
         if result.as_ref().is_err_and(StoreError::is_transient) {
-            // The old descriptor must be closed before the file is opened again.
+            // The old descriptor must be closed before the file is reopened.
             *database = None;
             *database = file::open(&self.inner.file).ok();
         }
@@ -127,7 +129,7 @@
         let earlier = lock(&self.inner.fault).replace(why.clone());
         if earlier.is_none() {
             let file = self.inner.file.display();
-            tracing::error!(%file, why, "voter storage fails: it does not vote until writes succeed");
+            tracing::error!(%file, why, "voter storage failed: not voting until a retry succeeds");
         }
     }
 
--- a/crates/control-plane/src/voter.rs
+++ b/crates/control-plane/src/voter.rs
@@ -1,5 +1,5 @@
-//! A voter: its data folder, its part in Raft, and its leader's service. It is opened again while its folder
-//! cannot be used.
+//! A voter: its data folder, its Raft instance and its leader service. While its data folder cannot be used,
+//! opening the voter is retried.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, PoisonError, RwLock};
@@ -23,46 +23,48 @@
 use crate::state_machine::{LoadError, StateMachine};
 use crate::store::{OpenError, Store};
 
-/// The pause between two attempts to open a voter's data folder.
+/// The backoff between two attempts to open a voter.
 const OPEN_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// The longest wait for the first leader, when the rules are bootstrapped: some elections.
+/// The longest wait for the first leader during the bootstrap. Several elections fit into it.
 const FIRST_ELECTION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The leader's heartbeat (ms): some fit into the shortest election timeout.
+/// The interval of the leader's heartbeats (ms). Several fit into the shortest election timeout.
 const HEARTBEAT_INTERVAL_MS: u64 = 100;
-/// How long a voter waits for a heartbeat before it stands for election (ms): a random time between these.
+/// The bounds of the election timeout (ms). A voter that receives no heartbeat for a random time between them
+/// starts an election.
 const ELECTION_TIMEOUT_MIN_MS: u64 = 500;
 const ELECTION_TIMEOUT_MAX_MS: u64 = 1_000;
-/// How long the transfer of one chunk of a snapshot may take (ms).
+/// The timeout for sending one chunk of a snapshot (ms).
 const INSTALL_SNAPSHOT_TIMEOUT_MS: u64 = 2_000;
-/// Entries in one message. As many documents of the largest size must fit into it.
+/// The maximum number of log entries in one message. That many documents of the maximum size must fit into a
+/// message.
 const MAX_ENTRIES_PER_MESSAGE: u64 = 6;
-/// Bytes of one chunk of a snapshot.
+/// The size of a chunk of a snapshot.
 const SNAPSHOT_CHUNK_BYTES: u64 = 1 << 20;
-/// Entries after which a new snapshot is built.
-const ENTRIES_PER_SNAPSHOT: u64 = 500;
-/// Entries before a snapshot that stay in the log, for voters that lag a little.
-const ENTRIES_BEFORE_SNAPSHOT: u64 = 100;
+/// The number of log entries after which a new snapshot is built.
+const SNAPSHOT_INTERVAL_ENTRIES: u64 = 500;
+/// The number of entries before a snapshot that stay in the log, for voters that lag slightly.
+const RETAINED_ENTRIES_BEFORE_SNAPSHOT: u64 = 100;
 
 /// Why a voter cannot be opened.
 #[derive(Debug, Error)]
 pub enum VoterError {
-    /// Its file cannot be opened.
+    /// The voter's file cannot be opened.
     #[error(transparent)]
     Open(#[from] OpenError),
-    /// Its last snapshot cannot be loaded.
+    /// The last snapshot cannot be loaded.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// The Raft library does not accept its settings.
+    /// The Raft library rejects its configuration.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The Raft library does not start.
+    /// The Raft library cannot start.
     #[error(transparent)]
     Raft(#[from] Fatal<u64>),
 }
 
 impl VoterError {
-    /// Whether the voter may be opened later.
+    /// Returns whether a later attempt to open the voter may succeed.
     fn is_transient(&self) -> bool {
         match self {
             VoterError::Open(error) => error.is_transient(),
@@ -73,31 +75,31 @@
 
 /// Why a process does not vote.
 #[derive(Clone, Debug, Error)]
-pub enum NotVoting {
-    /// It is not configured as a voter.
+pub enum NotVotingReason {
+    /// The process is not configured as a voter.
     #[error("it is not a voter")]
     NotConfigured,
-    /// Its voter cannot be opened.
+    /// The voter cannot be opened.
     #[error(transparent)]
     Failed(Arc<VoterError>),
 }
 
-/// The error of a change of the voters.
+/// The error of [`Voter::change_voters`].
 pub type ChangeVotersError = RaftError<u64, ClientWriteError<u64, EmptyNode>>;
 
-/// A voter that is open.
+/// An open voter.
 pub struct Voter {
-    /// Its part in Raft.
+    /// The voter's Raft instance.
     pub raft: Raft,
-    /// What it does while it leads.
+    /// The service that the voter provides while it leads.
     pub leader_service: Arc<LeaderService>,
     store: Store,
-    /// The tasks of the leader's service, which end with the voter.
+    /// The tasks of the leader service, which are aborted when the voter is dropped.
     _tasks: JoinSet<()>,
 }
 
 impl Voter {
-    /// Opens a voter's data folder, and takes part in Raft from then on.
+    /// Opens a voter's data folder and starts its Raft instance.
     async fn open(
         config: &ControlPlaneConfig,
         voter: &VoterConfig,
@@ -114,16 +116,18 @@
         Ok(Voter { raft, leader_service, store, _tasks: tasks })
     }
 
-    /// Returns what is wrong with the data folder now, while something is.
+    /// Returns the current fault of the data folder, if there is one.
     pub fn store_fault(&self) -> Option<String> {
         self.store.fault()
     }
 
-    /// Makes these the first voters, and this document the first rules; returns the number of its proposal.
+    /// Initializes Raft with these voters and commits this document as the first proposal. Returns the
+    /// proposal's number.
     ///
     /// # Errors
     ///
-    /// Fails if the document is too large, there are rules already, or no quorum answers in time.
+    /// Fails if the document is too large, the rules have already been bootstrapped, or no quorum responds in
+    /// time.
     pub async fn bootstrap(&self, voters: BTreeSet<u64>, document: RulesDocument) -> Result<u64, PeerError> {
         check_document_size(&document)?;
         let no_quorum = |error: &dyn std::fmt::Display| PeerError::NoQuorum(error.to_string());
@@ -136,19 +140,19 @@
         self.leader_service.write(Command::Bootstrap(document)).await
     }
 
-    /// Makes these the voters. New ones take over the log first, and then replace those that are not named
-    /// any more.
+    /// Replaces the set of voters. New voters first receive the log as learners, and then replace the voters
+    /// that are not in the new set.
     ///
     /// # Errors
     ///
-    /// Fails if this voter does not lead, or no quorum takes the change.
+    /// Fails if this voter does not lead, or no quorum commits the change.
     pub async fn change_voters(&self, ids: BTreeSet<u64>) -> Result<(), ChangeVotersError> {
-        let known: BTreeSet<u64> = {
+        let current_nodes: BTreeSet<u64> = {
             let metrics = self.raft.metrics();
             let metrics = metrics.borrow();
             metrics.membership_config.nodes().map(|(id, _)| *id).collect()
         };
-        for new in ids.difference(&known) {
+        for new in ids.difference(&current_nodes) {
             self.raft.add_learner(*new, EmptyNode {}, true).await?;
         }
         self.raft.change_membership(ids, false).await?;
@@ -165,66 +169,67 @@
         install_snapshot_timeout: INSTALL_SNAPSHOT_TIMEOUT_MS,
         max_payload_entries: MAX_ENTRIES_PER_MESSAGE,
         snapshot_max_chunk_size: SNAPSHOT_CHUNK_BYTES,
-        snapshot_policy: SnapshotPolicy::LogsSinceLast(ENTRIES_PER_SNAPSHOT),
-        max_in_snapshot_log_to_keep: ENTRIES_BEFORE_SNAPSHOT,
+        snapshot_policy: SnapshotPolicy::LogsSinceLast(SNAPSHOT_INTERVAL_ENTRIES),
+        max_in_snapshot_log_to_keep: RETAINED_ENTRIES_BEFORE_SNAPSHOT,
         ..Config::default()
     }
 }
 
-/// The voter of a process, or why it has none. It is replaced while the process runs.
+/// The voter of a process, or the reason why the process does not vote. The content is replaced while the
+/// process runs.
 pub struct VoterSlot {
-    voter: RwLock<Result<Arc<Voter>, NotVoting>>,
+    voter: RwLock<Result<Arc<Voter>, NotVotingReason>>,
 }
 
 impl VoterSlot {
     /// Creates the slot of a process that does not vote.
     pub fn empty() -> VoterSlot {
-        VoterSlot { voter: RwLock::new(Err(NotVoting::NotConfigured)) }
+        VoterSlot { voter: RwLock::new(Err(NotVotingReason::NotConfigured)) }
     }
 
     /// Returns the voter.
     ///
     /// # Errors
     ///
-    /// Fails if this process does not vote, yet or at all.
-    pub fn get(&self) -> Result<Arc<Voter>, NotVoting> {
+    /// Fails if this process does not vote, or has not opened its voter yet.
+    pub fn get(&self) -> Result<Arc<Voter>, NotVotingReason> {
         self.voter.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    fn set(&self, voter: Result<Arc<Voter>, NotVoting>) {
+    fn set(&self, voter: Result<Arc<Voter>, NotVotingReason>) {
         *self.voter.write().unwrap_or_else(PoisonError::into_inner) = voter;
     }
 }
 
-/// What opening the voter has led to.
+/// The outcome of an attempt to open the voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OpenOutcome {
-    /// The process votes.
+    /// The voter is open.
     Opened,
-    /// It does not, and another attempt may succeed.
+    /// The voter could not be opened, but a later attempt may succeed.
     RetryLater,
-    /// It does not, and no other attempt would succeed.
+    /// The voter could not be opened, and no later attempt would succeed.
     Failed,
 }
 
 /// Opens the voter of a process.
 pub struct VoterOpener {
-    /// The settings of the process.
+    /// The configuration of the process.
     pub config: Arc<ControlPlaneConfig>,
-    /// Those of its voter.
+    /// The configuration of the voter.
     pub voter: VoterConfig,
-    /// The transport to the other voters.
+    /// The client for requests to the other voters.
     pub peers: PeerClient,
     /// The clock of the process.
     pub clock: Clock,
-    /// The client that asks the voter within the process, once there is one.
+    /// The lease client of this process, which calls the voter directly once it is open.
     pub lease_client: Arc<LeaseClient>,
-    /// Where the voter goes.
+    /// The slot that receives the voter.
     pub voter_slot: Arc<VoterSlot>,
 }
 
 impl VoterOpener {
-    /// Opens the voter, and puts it or the reason why it cannot be opened into the slot.
+    /// Opens the voter, and stores it or the reason why it cannot be opened in the slot.
     pub async fn open(&self) -> OpenOutcome {
         let id = self.voter.id;
         match Voter::open(&self.config, &self.voter, self.peers.clone(), self.clock).await {
@@ -234,9 +239,9 @@
                 OpenOutcome::Opened
             }
             Err(error) => {
-                warn!(voter = id, why = error.to_string(), "this voter does not vote");
+                warn!(voter = id, why = error.to_string(), "voter cannot be opened: not voting");
                 let is_transient = error.is_transient();
-                self.voter_slot.set(Err(NotVoting::Failed(Arc::new(error))));
+                self.voter_slot.set(Err(NotVotingReason::Failed(Arc::new(error))));
                 if is_transient {
                     OpenOutcome::RetryLater
                 } else {
@@ -246,14 +251,14 @@
         }
     }
 
-    /// Tries again to open the voter, until it is open or never will be.
+    /// Retries opening the voter until it is open, or an attempt fails for good.
     pub async fn retry(self) {
         loop {
             tokio::time::sleep(OPEN_RETRY_DELAY).await;
             match self.open().await {
                 OpenOutcome::RetryLater => {}
                 OpenOutcome::Failed => return,
-                OpenOutcome::Opened => return info!(voter = self.voter.id, "this voter votes"),
+                OpenOutcome::Opened => return info!(voter = self.voter.id, "voter opened: voting"),
             }
         }
     }
--- a/crates/control-plane/tests/common/mod.rs
+++ b/crates/control-plane/tests/common/mod.rs
@@ -70,7 +70,8 @@
 pub struct Fleet {
     pub name: String,
     folder: tempfile::TempDir,
-    /// The voters' ports: without them another test's voter could listen where a killed one is still written to.
+    /// The voters' ports: without them another test's voter could listen where a killed one is still written
+    /// to.
     ports: Vec<tokio::net::TcpSocket>,
     pub addresses: BTreeMap<u64, String>,
     pub running: BTreeMap<u64, ControlPlane>,
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -1,9 +1,9 @@
 //! Voter folders recorded at commit 04e006e: a later program must open them, show the same rules and go on
 //! from there.
 //!
-//! `data/founded-<id>.redb.gz` is the `rules.redb` of voter `<id>` of a fleet of three that was bootstrapped with
-//! [`bootstrap_document`], was proposed [`proposed_document`], and ended once the proposal was active. The
-//! log holds the vote, the first membership, and commands of the kinds `Bootstrap`, `Join`, `Propose`,
+//! `data/founded-<id>.redb.gz` is the `rules.redb` of voter `<id>` of a fleet of three that was bootstrapped
+//! with [`bootstrap_document`], was proposed [`proposed_document`], and ended once the proposal was active.
+//! The log holds the vote, the first membership, and commands of the kinds `Bootstrap`, `Join`, `Propose`,
 //! `Advance` and `Leave`. `data/snapshot-<id>.redb.gz` is the same after 520 more `ReadBarrier` commands, by
 //! which the voter has built a snapshot and purged the log up to 100 entries before it. Addresses are
 //! settings and not stored, so any free ports will do.
