--- a/crates/control-plane/tests/message_bytes.rs
+++ b/crates/control-plane/tests/message_bytes.rs
@@ -1,10 +1,10 @@
-//! The postcard bytes of every kind of message between processes, as recorded at commit 04e006e in
-//! `data/message_bytes.txt`: `name hex` lines. `Command` is also what the log stores. The order, number and
-//! types of fields and variants must not change, or programs of two builds read each other wrongly; names are
-//! free.
+//! The postcard encoding of every kind of message between processes. `data/message_bytes.txt` holds the bytes
+//! as recorded at commit 04e006e, one `name hex` line per message. The log stores the encoding of `Command`
+//! too. The order, number and types of fields and variants must not change, or two versions of the program
+//! would misread each other's messages; names are not part of the encoding.
 //!
-//! Messages cannot be compared with `==`: a recorded one must be encoded to the same bytes again after it was
-//! decoded, and look like the one built here in its `Debug` form.
+//! Messages cannot be compared with `==`. Instead, a recorded message must be encoded to the same bytes after
+//! it was decoded, and have the same `Debug` output as the message that this test builds.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
@@ -27,36 +27,38 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-const RECORDED: &str = include_str!("data/message_bytes.txt");
+const RECORDED_MESSAGES: &str = include_str!("data/message_bytes.txt");
 
 /// Encodes each message and compares it with the recorded bytes, which must decode to the same message.
 #[derive(Default)]
 struct Checker {
     names: Vec<String>,
-    faults: Vec<String>,
+    mismatches: Vec<String>,
 }
 
 impl Checker {
     fn check<T: Serialize + DeserializeOwned + Debug>(&mut self, name: &str, value: &T) {
         self.names.push(name.to_owned());
         let encoded = hex(&postcard::to_stdvec(value).expect("encoded"));
-        let Some(recorded) = recorded(name) else {
-            return self.faults.push(format!("not recorded:\n{name} {encoded}"));
+        let Some(recorded) = recorded_bytes(name) else {
+            return self.mismatches.push(format!("not recorded:\n{name} {encoded}"));
         };
         if encoded != recorded {
-            self.faults.push(format!("{name} is encoded as {encoded}, and was as {recorded}"));
+            self.mismatches.push(format!("{name} is encoded as {encoded}, but was recorded as {recorded}"));
         }
         match postcard::from_bytes::<T>(&bytes(recorded)) {
             Ok(decoded) => {
-                let again = hex(&postcard::to_stdvec(&decoded).expect("encoded"));
-                if again != recorded {
-                    self.faults.push(format!("{name} is encoded as {again} once decoded from {recorded}"));
+                let re_encoded = hex(&postcard::to_stdvec(&decoded).expect("encoded"));
+                if re_encoded != recorded {
+                    self.mismatches.push(format!(
+                        "{name} is encoded as {re_encoded} after it was decoded from {recorded}"
+                    ));
                 }
                 if format!("{decoded:?}") != format!("{value:?}") {
-                    self.faults.push(format!("{name} is decoded to {decoded:?}, not {value:?}"));
+                    self.mismatches.push(format!("{name} is decoded as {decoded:?}, not as {value:?}"));
                 }
             }
-            Err(e) => self.faults.push(format!("{name} cannot be decoded: {e}")),
+            Err(e) => self.mismatches.push(format!("{name} cannot be decoded: {e}")),
         }
     }
 
@@ -67,14 +69,18 @@
     }
 
     fn finish(self) {
-        assert!(self.faults.is_empty(), "{}", self.faults.join("\n"));
-        let recorded: Vec<&str> = RECORDED.lines().filter_map(|line| line.split(' ').next()).collect();
-        assert_eq!(self.names, recorded, "each recorded message is checked, in the order of the file");
+        assert!(self.mismatches.is_empty(), "{}", self.mismatches.join("\n"));
+        let recorded: Vec<&str> =
+            RECORDED_MESSAGES.lines().filter_map(|line| line.split(' ').next()).collect();
+        assert_eq!(self.names, recorded, "every recorded message must be checked, in the order of the file");
     }
 }
 
-fn recorded(name: &str) -> Option<&'static str> {
-    RECORDED.lines().find_map(|line| line.split_once(' ').filter(|(of, _)| *of == name)).map(|(_, hex)| hex)
+fn recorded_bytes(name: &str) -> Option<&'static str> {
+    RECORDED_MESSAGES
+        .lines()
+        .find_map(|line| line.split_once(' ').filter(|(label, _)| *label == name))
+        .map(|(_, hex)| hex)
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -86,8 +92,8 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-// All values are made here. No two fields of one type have the same value, so that any two that are swapped
-// show.
+// The functions below build all values. Fields of the same type have different values, so that swapped fields
+// are detected.
 
 fn version(number: u64) -> Version {
     Version { number, term: 7 }
@@ -134,7 +140,7 @@
     }
 }
 
-/// One entry of each kind, and one for each command.
+/// Returns an `AppendEntries` request with an entry of each kind and an entry for each command.
 fn append_entries() -> PeerRequest {
     let payloads = [EntryPayload::Blank, EntryPayload::Membership(membership())];
     let payloads = payloads.into_iter().chain(commands().into_iter().map(EntryPayload::Normal));
@@ -280,14 +286,14 @@
 }
 
 #[test]
-fn every_message_keeps_its_recorded_bytes() {
+fn every_message_is_encoded_to_its_recorded_bytes() {
     let mut checker = Checker::default();
     checker.check_all("command", &commands());
-    checker.check_all("call", &requests());
-    checker.check_all("refusal", &peer_errors());
-    checker.check("holder-status", &member_status());
-    checker.check("lead", &rollout_status());
+    checker.check_all("request", &requests());
+    checker.check_all("peer-error", &peer_errors());
+    checker.check("member-status", &member_status());
+    checker.check("rollout-status", &rollout_status());
     checker.check("status", &status());
-    checker.check_all("answer", &responses());
+    checker.check_all("response", &responses());
     checker.finish();
 }
