--- a/crates/control-plane/src/peer_client.rs
+++ b/crates/control-plane/src/peer_client.rs
@@ -58,7 +58,7 @@
     },
     /// A message could not be encoded or decoded, or the connection failed.
     #[error("{address}: {source}")]
-    Exchange {
+    RequestFailed {
         /// The address of the peer.
         address: Address,
         /// The underlying error.
@@ -105,8 +105,8 @@
         request: &PeerRequest,
         timeout: Duration,
     ) -> Result<PeerResponse, TransportError> {
-        let exchange = tokio::time::timeout(timeout, self.exchange(address, request)).await;
-        exchange.unwrap_or_else(|_| Err(TransportError::Timeout { peer: address.to_owned(), timeout }))
+        let result = tokio::time::timeout(timeout, self.send_without_timeout(address, request)).await;
+        result.unwrap_or_else(|_| Err(TransportError::Timeout { peer: address.to_owned(), timeout }))
     }
 
     /// Sends a request to the voter with an id, and returns its response.
@@ -124,8 +124,12 @@
         self.send(address, request, timeout).await
     }
 
-    async fn exchange(&self, address: &str, request: &PeerRequest) -> Result<PeerResponse, TransportError> {
-        let body = postcard::to_stdvec(request).map_err(|e| transport_error(address, e))?;
+    async fn send_without_timeout(
+        &self,
+        address: &str,
+        request: &PeerRequest,
+    ) -> Result<PeerResponse, TransportError> {
+        let body = postcard::to_stdvec(request).map_err(|e| request_failed(address, e))?;
         if body.len() > MAX_MESSAGE_BYTES {
             return Err(TransportError::TooLarge { address: address.to_owned() });
         }
@@ -133,22 +137,22 @@
             .header(FLEET_HEADER, &self.fleet)
             .header(FORMAT_HEADER, FORMAT)
             .body(Full::new(Bytes::from(body)))
-            .map_err(|e| transport_error(address, e))?;
-        let response = self.client.request(request).await.map_err(|e| transport_error(address, e))?;
+            .map_err(|e| request_failed(address, e))?;
+        let response = self.client.request(request).await.map_err(|e| request_failed(address, e))?;
         let status = response.status();
         let body = Limited::new(response.into_body(), MAX_MESSAGE_BYTES).collect().await;
-        let body = body.map_err(|e| transport_error(address, e))?.to_bytes();
+        let body = body.map_err(|e| request_failed(address, e))?.to_bytes();
         if status != StatusCode::OK {
             let reason = String::from_utf8_lossy(&body[..body.len().min(MAX_QUOTED_BYTES)]).into_owned();
             return Err(TransportError::Rejected { address: address.to_owned(), reason });
         }
-        postcard::from_bytes(&body).map_err(|e| transport_error(address, e))
+        postcard::from_bytes(&body).map_err(|e| request_failed(address, e))
     }
 }
 
-fn transport_error(
+fn request_failed(
     address: &str,
     source: impl Into<Box<dyn std::error::Error + Send + Sync>>,
 ) -> TransportError {
-    TransportError::Exchange { address: address.to_owned(), source: source.into() }
+    TransportError::RequestFailed { address: address.to_owned(), source: source.into() }
 }
