--- a/crates/control-plane/src/request_handler.rs
+++ b/crates/control-plane/src/request_handler.rs
@@ -1,4 +1,4 @@
-//! What a process answers to each request of another one, or of an operator.
+//! The handler of requests from other processes and from operators.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -10,15 +10,15 @@
 use crate::lease_client::LeaseClient;
 use crate::messages::{PeerRequest, PeerResponse};
 use crate::peer_error::PeerError;
-use crate::status::Status;
+use crate::status::SchedulerStatus;
 use crate::voter::{Voter, VoterSlot};
 
-/// Answers requests.
+/// Handles requests with the local voter, if this process has one.
 pub struct RequestHandler {
     config: Arc<ControlPlaneConfig>,
     lease_client: Arc<LeaseClient>,
     voter: Arc<VoterSlot>,
-    /// Set once this process has left the membership, and stops voting.
+    /// Set once this process has left the membership and stops voting.
     shutting_down: AtomicBool,
 }
 
@@ -32,17 +32,17 @@
         RequestHandler { config, lease_client, voter, shutting_down: AtomicBool::new(false) }
     }
 
-    /// Returns the name of the fleet whose requests are answered.
+    /// Returns the name of the fleet whose requests are accepted.
     pub fn fleet(&self) -> &str {
         &self.config.fleet
     }
 
-    /// Rejects all requests from now on.
+    /// Makes the handler reject all requests.
     pub fn shut_down(&self) {
         self.shutting_down.store(true, Ordering::Relaxed);
     }
 
-    /// Answers a request. It may be cancelled: a command may still be committed then.
+    /// Handles a request, and returns the response. If it is cancelled, a command may still be committed.
     pub async fn handle(&self, request: PeerRequest) -> PeerResponse {
         if self.shutting_down.load(Ordering::Relaxed) {
             return PeerResponse::Error(PeerError::NotVoter("it ends".to_owned()));
@@ -57,7 +57,7 @@
     }
 
     async fn handle_as_voter(&self, voter: &Voter, request: PeerRequest) -> PeerResponse {
-        let served = match request {
+        let result = match request {
             PeerRequest::AppendEntries(rpc) => {
                 return PeerResponse::AppendEntries(voter.raft.append_entries(rpc).await);
             }
@@ -82,7 +82,7 @@
             PeerRequest::History => voter.leader_service.history().await.map(PeerResponse::History),
             PeerRequest::Status => Ok(PeerResponse::Status(Box::new(self.status()))),
         };
-        served.unwrap_or_else(PeerResponse::Error)
+        result.unwrap_or_else(PeerResponse::Error)
     }
 
     async fn grant_lease(
@@ -100,7 +100,7 @@
         Ok(PeerResponse::LeaseGranted(Box::new(grant)))
     }
 
-    fn status(&self) -> Status {
+    fn status(&self) -> SchedulerStatus {
         let lease = self.lease_client.summary();
         let (voter, not_voting_reason) = match self.voter.get() {
             Ok(voter) => {
@@ -110,17 +110,17 @@
             Err(reason) => (None, Some(reason.to_string())),
         };
         let leader_service = voter.as_ref().map(|voter| &voter.leader_service);
-        Status {
+        SchedulerStatus {
             name: self.config.name.clone(),
-            build: self.config.build.clone(),
+            program_version: self.config.program_version.clone(),
             version: lease.version,
-            left_ms: lease.left_ms,
+            lease_remaining_ms: lease.remaining_ms,
             degraded_ms: lease.degraded_ms,
             max_overlap_ms: self.config.lease.max_overlap() / NANOS_PER_MS,
             not_voting_reason,
-            voter: self.config.voter.as_ref().map(|voter| voter.id),
-            leader: leader_service.and_then(|service| service.leader()),
-            leader_status: leader_service.and_then(|service| service.status()),
+            voter_id: self.config.voter.as_ref().map(|voter| voter.id),
+            leader_id: leader_service.and_then(|service| service.leader()),
+            rollout: leader_service.and_then(|service| service.status()),
         }
     }
 }
