--- a/crates/rollout/src/contradiction.rs
+++ b/crates/rollout/src/contradiction.rs
@@ -1,4 +1,4 @@
-//! The relation that says which steps may be in force at the same time.
+//! Contradictions between steps, which decide whether two steps may be in effect at the same time.
 
 use std::collections::BTreeSet;
 
@@ -8,32 +8,33 @@
 use crate::key_placement::PlacementInputs;
 use crate::step::{RulesStep, WorkerAccess};
 
-/// Relative tolerance of comparisons with a quota, because sums of shares are rounded.
+/// Relative tolerance of comparisons with a quota. Sums of shares are rounded.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// The reason why two steps may not be in force at the same time.
+/// The reason why two steps may not be in effect at the same time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Error)]
 #[serde(rename_all = "snake_case")]
 pub enum Contradiction {
     /// The shares of this tenant's quota could add up to more than the quota.
     #[error("the parts of {0}'s limit could pass the whole")]
     QuotaExceeded(String),
-    /// One step makes this worker exclusive to a tenant, and the other permits other tenants' work on it.
+    /// One step restricts this worker, and the other step allows work on it that the restriction forbids.
     #[error("{0} could get another tenant's work")]
     ReservedWorker(String),
-    /// A key could be sent to two racks.
+    /// The same key could be sent to two racks.
     #[error("keys could be sent to two racks")]
     KeyPlacement,
 }
 
 impl RulesStep {
-    /// What schedulers that act on this step and others that act on `other` could do together that neither step allows;
-    /// `None` if the two may be in force at the same time.
+    /// Returns a contradiction between this step and `other`: something that schedulers on the two steps
+    /// could do together although neither step allows it. Returns `None` if both steps may be in effect at
+    /// the same time.
     pub fn contradiction_with(&self, other: &RulesStep) -> Option<Contradiction> {
         if let Some(tenant) = self.exceeded_quota(other) {
             return Some(Contradiction::QuotaExceeded(tenant.clone()));
         }
-        if let Some(worker) = self.wrongly_shared_worker(other) {
+        if let Some(worker) = self.shared_exclusive_worker(other) {
             return Some(Contradiction::ReservedWorker(worker.clone()));
         }
         if !self.key_placement.is_compatible_with(&other.key_placement) {
@@ -42,7 +43,8 @@
         None
     }
 
-    /// The first tenant whose quota could be exceeded. A tenant without a quota in one of the steps has no limit.
+    /// Returns the first tenant whose quota could be exceeded. A tenant without a quota in one of the steps
+    /// is not limited while both steps are in effect.
     fn exceeded_quota<'a>(&'a self, other: &'a RulesStep) -> Option<&'a String> {
         let tenants: BTreeSet<&String> = self.quotas.keys().chain(other.quotas.keys()).collect();
         tenants.into_iter().find(|tenant| match (self.quotas.get(*tenant), other.quotas.get(*tenant)) {
@@ -54,18 +56,19 @@
         })
     }
 
-    /// The first worker that is exclusive in one of the steps and open to another tenant in the other.
-    fn wrongly_shared_worker<'a>(&'a self, other: &'a RulesStep) -> Option<&'a String> {
+    /// Returns the first worker that is exclusive to a tenant in one step and open to another tenant in the
+    /// other.
+    fn shared_exclusive_worker<'a>(&'a self, other: &'a RulesStep) -> Option<&'a String> {
         let workers: BTreeSet<&String> =
             self.worker_access.keys().chain(other.worker_access.keys()).collect();
         workers.into_iter().find(|worker| {
             let (access, other_access) = (self.worker_access.get(*worker), other.worker_access.get(*worker));
-            violates_exclusive_access(access, other_access) || violates_exclusive_access(other_access, access)
+            violates_exclusivity(access, other_access) || violates_exclusivity(other_access, access)
         })
     }
 
-    /// The largest sum of the shares of all members, of which some act on this step and some on the other. As many as
-    /// permitted act on the step with the larger shares.
+    /// Returns the largest sum of the shares of all members, if some apply this step and the others apply
+    /// `other`. The sum is largest when as many members as permitted apply the step with the larger share.
     fn max_combined_quota(&self, other: &RulesStep, tenant: &str) -> f64 {
         let (own_quota, other_quota) = (self.member_quota(tenant), other.member_quota(tenant));
         let ((larger, members_with_larger), (smaller, members_with_smaller)) = if own_quota >= other_quota {
@@ -77,41 +80,46 @@
         f64::from(members_with_larger) * larger + f64::from(members - members_with_larger) * smaller
     }
 
-    /// What a disconnected scheduler that acts on this step's degraded rules could do that the `active` step does not
-    /// allow; `None` if the active step allows it all.
+    /// Returns a contradiction between this step's degraded rules and the `active` step: something that a
+    /// disconnected scheduler could do although the active step forbids it. Returns `None` if the active step
+    /// allows all of it.
     pub fn degraded_contradiction_with(&self, active: &RulesStep) -> Option<Contradiction> {
         for (tenant, quota) in &active.quotas {
-            // The scheduler is still counted as a member and must not take more than one member's share.
+            // The scheduler still counts as a member, so it must not use more than one member's share.
             let member_quota = quota / f64::from(active.quota_shares);
             if self.degraded_member_quota(tenant) > member_quota * (1.0 + ROUNDING_TOLERANCE) {
                 return Some(Contradiction::QuotaExceeded(tenant.clone()));
             }
         }
         for worker in active.worker_access.keys() {
-            if self.degraded_covers(worker) {
+            if self.degraded_allows_worker(worker) {
                 return Some(Contradiction::ReservedWorker(worker.clone()));
             }
         }
-        let sends = self.degraded.allows_unlisted_workers || !self.degraded.allowed_workers.is_empty();
-        if sends && !self.key_placement.inputs().any(|inputs| is_kept_by(inputs, active)) {
+        let may_send = self.degraded.allows_unlisted_workers || !self.degraded.allowed_workers.is_empty();
+        if may_send && !self.key_placement.inputs().any(|inputs| preserves_placement(inputs, active)) {
             return Some(Contradiction::KeyPlacement);
         }
         None
     }
 }
 
-/// Whether the active step sends every key of the workers that stay open where these inputs place it. Rendezvous hashing
-/// places a key at the worker of the highest hash: excluding a worker moves that worker's keys and no others, and a
-/// disconnected scheduler sends a key only if one of its allowed workers ranks first.
-fn is_kept_by(inputs: &PlacementInputs, active: &RulesStep) -> bool {
+/// Returns whether the active step preserves the placement by `inputs`: every key that `inputs` place at a
+/// worker that stays open still goes to that worker.
+///
+/// Rendezvous hashing places a key at the worker with the highest hash. Excluding a worker therefore moves
+/// the keys of that worker and no others. A disconnected scheduler sends a key only if one of its allowed
+/// workers ranks first.
+fn preserves_placement(inputs: &PlacementInputs, active: &RulesStep) -> bool {
     active.key_placement.inputs().any(|active_inputs| {
         active_inputs.list_version == inputs.list_version
             && active_inputs.excluded_workers.is_superset(&inputs.excluded_workers)
     })
 }
 
-/// Whether one access makes a worker exclusive to a tenant and the other permits another tenant's work on it.
-fn violates_exclusive_access(access: Option<&WorkerAccess>, other: Option<&WorkerAccess>) -> bool {
+/// Returns whether `access` makes a worker exclusive to a tenant and `other` allows another tenant's work on
+/// it.
+fn violates_exclusivity(access: Option<&WorkerAccess>, other: Option<&WorkerAccess>) -> bool {
     let Some(WorkerAccess::Exclusive(tenant)) = access else { return false };
     match other {
         None => true,
--- a/crates/rollout/src/document_format.rs
+++ b/crates/rollout/src/document_format.rs
@@ -5,35 +5,35 @@
 use crate::document::{DegradedRules, RetryAfterRange, RulesDocument, WorkerState, MAX_TENANTS, MAX_WORKERS};
 use crate::toml_reader::{InvalidDocument, TomlReader, TomlTable};
 
-/// The keys of a document.
+/// The keys at the root of a document.
 const DOCUMENT_KEYS: [&str; 7] =
     ["schedulers", "attempts", "retry_after_ms", "tenants", "workers", "careful", "list"];
-/// The states of a worker by name.
+/// The names of worker states.
 const WORKER_STATES: [&str; 4] = ["cordoned", "drained", "never", "pinned"];
 
-// Sanity limits: values beyond them are taken for typing errors.
+// Sanity limits. Values beyond them are assumed to be typing errors.
 const MAX_SCHEDULERS: u64 = 10_000;
 const MAX_ATTEMPTS: u64 = 16;
 const MAX_RETRY_AFTER_MS: u32 = 600_000;
 const MAX_QUOTA_PER_S: f64 = 1e9;
-/// TOML integers are signed.
+/// The maximum of a TOML integer, which is signed.
 const MAX_LIST_VERSION: u64 = i64::MAX as u64;
 
 impl RulesDocument {
-    /// Reads a document.
+    /// Parses a document.
     ///
     /// # Errors
     ///
-    /// [`InvalidDocument`] with everything that is wrong with it.
+    /// [`InvalidDocument`] with all errors in the document.
     pub fn parse(text: &str) -> Result<RulesDocument, InvalidDocument> {
         let mut reader = TomlReader::parse(text)?;
         let document = reader.read_root("", &DOCUMENT_KEYS, read_document);
-        report_unlimited_pinned_tenants(&reader, &document);
+        report_pinned_tenants_without_quota(&reader, &document);
         report_restricted_degraded_workers(&reader, &document);
         reader.finish(document)
     }
 
-    /// Writes the document as TOML, which [`RulesDocument::parse`] reads back to an equal one.
+    /// Formats the document as TOML that [`RulesDocument::parse`] reads back to an equal document.
     pub fn to_toml(&self) -> String {
         let RetryAfterRange { min_ms, max_ms } = self.retry_after;
         let retry_after = vec![i64::from(min_ms).into(), i64::from(max_ms).into()];
@@ -52,7 +52,7 @@
     }
 }
 
-/// Reads the root of a document. What is missing or wrong gets its default value.
+/// Reads the root of a document. Fields that are missing or invalid get their default values.
 fn read_document(root: &TomlTable<'_, '_>) -> RulesDocument {
     let default = RulesDocument::default();
     let schedulers = root.integer("schedulers", 1, MAX_SCHEDULERS);
@@ -72,13 +72,13 @@
     }
 }
 
-/// Reads a tenant's table.
+/// Reads the table of a tenant.
 fn read_quota(tenant: &TomlTable<'_, '_>) -> f64 {
     tenant.deny_unknown(&["quota_per_s"]);
     tenant.float("quota_per_s", 0.0, MAX_QUOTA_PER_S).unwrap_or(0.0)
 }
 
-/// Reads a worker's table.
+/// Reads the table of a worker.
 fn read_worker(worker: &TomlTable<'_, '_>) -> WorkerState {
     worker.deny_unknown(&["standing", "tenant"]);
     let tenant = worker.string("tenant");
@@ -87,7 +87,7 @@
         Some("never") => WorkerState::Excluded,
         Some("pinned") => {
             if tenant.is_none() {
-                worker.report("tenant", "a pinned worker needs one");
+                worker.report("tenant", "is required for a pinned worker");
             }
             WorkerState::Pinned(tenant.unwrap_or_default())
         }
@@ -108,32 +108,34 @@
 }
 
 /// Reports each worker that is pinned to a tenant without a quota.
-fn report_unlimited_pinned_tenants(reader: &TomlReader<'_>, document: &RulesDocument) {
+fn report_pinned_tenants_without_quota(reader: &TomlReader<'_>, document: &RulesDocument) {
     for (worker, state) in &document.workers {
         let WorkerState::Pinned(tenant) = state else { continue };
-        // One without a tenant has been reported already.
+        // A pinned worker without a tenant has already been reported.
         if !tenant.is_empty() && !document.quotas.contains_key(tenant) {
-            reader.report(&["workers", worker, "tenant"], "is not among the tenants");
+            reader.report(&["workers", worker, "tenant"], "must be one of the document's tenants");
         }
     }
 }
 
-/// Reports each worker that the degraded rules allow although it is not open to all tenants.
+/// Reports each worker that the degraded rules allow although the worker is not open to all tenants.
 fn report_restricted_degraded_workers(reader: &TomlReader<'_>, document: &RulesDocument) {
     for worker in &document.degraded.allowed_workers {
         if document.workers.contains_key(worker) {
-            let problem = format!("{worker} is set apart, and cannot be for the cut off");
+            let problem = format!(
+                "{worker} is not open to all tenants, so a scheduler without a lease must not use it"
+            );
             reader.report(&["careful", "workers"], &problem);
         }
     }
 }
 
-/// A tenant's table.
+/// Creates the table of a tenant.
 fn quota_to_toml(quota: f64) -> Value {
     Value::Table(table([("quota_per_s", quota.into())]))
 }
 
-/// A worker's table.
+/// Creates the table of a worker.
 fn worker_to_toml(state: &WorkerState) -> Value {
     let (name, tenant) = match state {
         WorkerState::Cordoned => ("cordoned", None),
@@ -148,7 +150,7 @@
     Value::Table(worker)
 }
 
-/// The table of degraded rules.
+/// Creates the table of degraded rules.
 fn degraded_to_toml(degraded: &DegradedRules) -> Table {
     let workers = degraded.allowed_workers.iter().cloned().map(Value::String);
     table([
@@ -159,7 +161,7 @@
     ])
 }
 
-/// A table of these keys and values.
+/// Creates a table of keys and values.
 fn table<const N: usize>(entries: [(&str, Value); N]) -> Table {
     entries.into_iter().map(|(key, value)| (key.to_owned(), value)).collect()
 }
--- a/crates/rollout/src/key_placement.rs
+++ b/crates/rollout/src/key_placement.rs
@@ -1,4 +1,4 @@
-//! The inputs that decide to which rack a keyed job goes.
+//! Key placement: the inputs that determine the rack of a keyed job.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 pub struct PlacementInputs {
     /// The version of the worker list.
     pub list_version: u64,
-    /// The workers that take no part in the placement because they are not open to all tenants.
+    /// The workers that get no keys because they are not open to all tenants.
     pub excluded_workers: BTreeSet<String>,
 }
 
@@ -17,14 +17,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyPlacement {
-    /// By one set of inputs.
+    /// Places keys by one set of inputs.
     Single(PlacementInputs),
-    /// By the old and the new set, only where both place a key in the same rack. Other keyed jobs wait for the next step.
+    /// Places only the keys that the old and the new set of inputs place in the same rack. Jobs with other
+    /// keys wait for the next step.
     Transition(PlacementInputs, PlacementInputs),
 }
 
 impl KeyPlacement {
-    /// All sets of inputs, the latest last.
+    /// Returns all sets of inputs, the latest last.
     pub(crate) fn inputs(&self) -> impl Iterator<Item = &PlacementInputs> {
         let (first, second) = match self {
             KeyPlacement::Single(inputs) => (inputs, None),
@@ -33,15 +34,17 @@
         std::iter::once(first).chain(second)
     }
 
-    /// The set of inputs that the placement leads to.
+    /// Returns the set of inputs that remains after a transition.
     pub(crate) fn latest_inputs(&self) -> &PlacementInputs {
         match self {
             KeyPlacement::Single(inputs) | KeyPlacement::Transition(_, inputs) => inputs,
         }
     }
 
-    /// Whether two schedulers with these placements never send one key to two racks: they share a set of inputs, by which
-    /// each either sends a key to the same rack or does not send it. Two single placements must be equal.
+    /// Returns whether two schedulers with these placements never send the same key to two racks.
+    ///
+    /// That holds if the placements share a set of inputs: each scheduler sends a key to the rack that the
+    /// shared inputs determine, or does not send it. Two single placements must therefore be equal.
     pub(crate) fn is_compatible_with(&self, other: &KeyPlacement) -> bool {
         self.inputs().any(|inputs| other.inputs().any(|other_inputs| inputs == other_inputs))
     }
--- a/crates/rollout/src/lease/holder.rs
+++ b/crates/rollout/src/lease/holder.rs
@@ -4,21 +4,22 @@
 
 use super::config::LeaseConfig;
 use super::messages::{LeaseGrant, LeaseRequest};
-use crate::monotonic::Nanos;
 use crate::step::{RulesStep, VersionedStep};
+use crate::time::Nanos;
 use crate::version::Version;
 
-/// Number of unanswered requests that are remembered: more than there are renewals within any sensible lease.
+/// Maximum number of remembered requests without a response; more than the number of renewals within any
+/// reasonable lease.
 const MAX_PENDING_REQUESTS: usize = 64;
 
-/// The rules that a scheduler may act on at a time.
+/// The rules that a scheduler may apply at a given time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LeaseState<'a> {
-    /// The lease is valid: the full rules apply.
+    /// The lease is valid. The full rules of the step apply.
     Active(Version, &'a RulesStep),
-    /// The lease has expired: only the degraded rules of the step apply.
+    /// The lease has expired. Only the degraded rules of the step apply.
     Lapsed(Version, &'a RulesStep),
-    /// No lease has been granted yet: the scheduler has no share of any quota.
+    /// No lease has been granted yet. The scheduler has no share of any quota.
     NeverGranted,
 }
 
@@ -28,7 +29,7 @@
     config: LeaseConfig,
     incarnation: u64,
     next_sequence: u64,
-    /// Unanswered requests by number, with the time at which each was made.
+    /// The time of each request without a response, by sequence number.
     pending_requests: BTreeMap<u64, Nanos>,
     /// The step of the last accepted grant.
     granted: Option<VersionedStep>,
@@ -37,8 +38,8 @@
 }
 
 impl LeaseHolder {
-    /// Creates a holder without a lease. `incarnation` must differ from that of every earlier process of the same name, so
-    /// that a grant to one of those is not accepted.
+    /// Creates a holder without a lease. `incarnation` must differ from the incarnations of all earlier
+    /// processes with the same name, so that the holder ignores grants to them.
     pub fn new(config: LeaseConfig, incarnation: u64) -> LeaseHolder {
         LeaseHolder {
             config,
@@ -51,12 +52,13 @@
         }
     }
 
-    /// The time at which the next request should be made.
+    /// Returns the time at which the next request is due.
     pub fn renewal_due(&self) -> Nanos {
         self.renewal_due
     }
 
-    /// Creates the next request. The lease that answers it counts from `now`, however late the answer arrives.
+    /// Creates the next request. A lease that is granted in response starts at `now`, however late the grant
+    /// arrives.
     pub fn next_request(&mut self, now: Nanos) -> LeaseRequest {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -68,12 +70,13 @@
         LeaseRequest { incarnation: self.incarnation, sequence, acknowledged: self.version() }
     }
 
-    /// The version of the last accepted grant; the default version if there was none.
+    /// Returns the version of the last accepted grant; the default version if there was none.
     pub fn version(&self) -> Version {
         self.granted.as_ref().map_or(Version::default(), |granted| granted.version)
     }
 
-    /// Processes a grant, which may arrive late, more than once or out of order. Returns whether it brought a new version.
+    /// Processes a grant, which may be late, duplicated or out of order. Returns whether the grant contains a
+    /// new version.
     pub fn accept(&mut self, now: Nanos, grant: LeaseGrant) -> bool {
         if grant.incarnation != self.incarnation {
             return false;
@@ -94,8 +97,8 @@
         true
     }
 
-    /// The rules that the scheduler may act on now. To be called before each send, because a process that was suspended
-    /// learns only here that its lease has expired.
+    /// Returns the rules that the scheduler may apply now. Must be called before each send, because a process
+    /// that was suspended detects only here that its lease has expired.
     pub fn state(&self, now: Nanos) -> LeaseState<'_> {
         match &self.granted {
             Some(granted) if now < self.expiry => LeaseState::Active(granted.version, &granted.step),
@@ -104,12 +107,12 @@
         }
     }
 
-    /// The time at which the last lease expires or has expired; zero if none was granted.
+    /// Returns the time at which the last lease expires or has expired; zero if none was granted.
     pub fn expiry(&self) -> Nanos {
         self.expiry
     }
 
-    /// The time until the lease expires; zero if it has expired.
+    /// Returns the remaining time of the lease; zero if it has expired.
     pub fn remaining(&self, now: Nanos) -> Nanos {
         self.expiry.saturating_sub(now)
     }
--- a/crates/rollout/src/lease/messages.rs
+++ b/crates/rollout/src/lease/messages.rs
@@ -8,11 +8,11 @@
 /// A holder's request for a new lease or a renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Identifies the process among all that have had the holder's name.
+    /// Identifies the process among all processes that have had the holder's name.
     pub incarnation: u64,
-    /// The number of the request within its incarnation.
+    /// The sequence number of the request within its incarnation.
     pub sequence: u64,
-    /// The version that the holder has; it acts on no earlier one any more.
+    /// The version that the holder has received. The holder no longer applies earlier versions.
     pub acknowledged: Version,
 }
 
@@ -21,11 +21,11 @@
 pub struct LeaseGrant {
     /// The incarnation of the request.
     pub incarnation: u64,
-    /// The number of the request.
+    /// The sequence number of the request.
     pub sequence: u64,
     /// The version that the lease is for.
     pub version: Version,
-    /// The rules of the version; `None` if the holder has acknowledged it, because steps may be large and renewals are
-    /// frequent.
+    /// The rules of the version; `None` if the holder has acknowledged the version, because steps may be
+    /// large and renewals are frequent.
     pub step: Option<RulesStep>,
 }
--- a/crates/rollout/src/lease/mod.rs
+++ b/crates/rollout/src/lease/mod.rs
@@ -1,6 +1,6 @@
-//! Leases, by which a scheduler acts on a rules step for a limited time after it last asked for one, and by which the
-//! leader knows when that time has passed for certain (Gray and Cheriton, Leases: An Efficient Fault-Tolerant Mechanism
-//! for Distributed File Cache Consistency, SOSP 1989).
+//! Leases on rules steps. A lease permits a scheduler to apply a step for a limited time after its last
+//! request. The leader can tell when that time has certainly passed (Gray and Cheriton, Leases: An Efficient
+//! Fault-Tolerant Mechanism for Distributed File Cache Consistency, SOSP 1989).
 
 mod config;
 mod holder;
--- a/crates/rollout/src/lease/table.rs
+++ b/crates/rollout/src/lease/table.rs
@@ -4,31 +4,32 @@
 
 use super::config::LeaseConfig;
 use super::messages::{LeaseGrant, LeaseRequest};
-use crate::monotonic::Nanos;
 use crate::step::RulesStep;
+use crate::time::Nanos;
 use crate::version::Version;
 
-/// Number of earlier incarnations that are remembered of each holder.
+/// Maximum number of earlier incarnations that are remembered for each holder.
 const MAX_PAST_INCARNATIONS: usize = 4;
-/// Number of departed holders of which the incarnation is remembered: more than depart while a request is under way.
+/// Maximum number of departed holders whose incarnations are remembered; more than depart while a request is
+/// in flight.
 const MAX_DEPARTED_HOLDERS: usize = 1_024;
 
-/// What is known about a holder's leases on versions before a given one.
+/// The state of a holder's leases on versions before a given one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PriorLease {
-    /// The holder has acknowledged the version and acts on no earlier one.
+    /// The holder has acknowledged the given version and no longer applies earlier ones.
     Replaced,
-    /// Every lease on an earlier version has expired for certain.
+    /// All leases on earlier versions have certainly expired.
     Expired,
     /// The holder may have a lease on an earlier version.
     Outstanding {
-        /// The time at which that lease has expired for certain, by the leader's clock.
+        /// The time, by the leader's clock, at which that lease has certainly expired.
         expiry: Nanos,
     },
 }
 
 impl PriorLease {
-    /// Whether the holder cannot have a lease on an earlier version.
+    /// Returns whether the holder can no longer have a lease on an earlier version.
     pub fn is_over(&self) -> bool {
         match self {
             PriorLease::Replaced | PriorLease::Expired => true,
@@ -44,23 +45,23 @@
     pub holder: &'a str,
     /// The version that was granted.
     pub version: Version,
-    /// The time at which the lease has expired for certain, by the leader's clock.
+    /// The time, by the leader's clock, at which the lease has certainly expired.
     pub expiry: Nanos,
 }
 
-/// A name and incarnation that gave its membership up.
+/// A process that has left the membership.
 #[derive(Clone, Debug)]
 struct DepartedHolder {
     name: String,
     incarnation: u64,
 }
 
-/// What the leader knows about a holder.
+/// The leader's record of a holder.
 #[derive(Clone, Debug)]
 struct HolderRecord {
-    /// The incarnation that first asked last.
+    /// The incarnation whose first request arrived last.
     incarnation: u64,
-    /// The incarnations that it has replaced, the latest last.
+    /// The incarnations that the current one has replaced, the latest last.
     past_incarnations: VecDeque<u64>,
     /// The latest version that the holder has acknowledged.
     acknowledged: Version,
@@ -73,8 +74,8 @@
 }
 
 impl HolderRecord {
-    /// Creates the record of a holder that asks for the first time in this term, which began at `term_start`. Until then
-    /// an earlier leader may have granted it a lease.
+    /// Creates the record of a holder at its first request in the term that began at `term_start`. Until
+    /// `term_start` an earlier leader may have granted the holder a lease.
     fn new(request: &LeaseRequest, term_start: Nanos) -> HolderRecord {
         HolderRecord {
             incarnation: request.incarnation,
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Records the incarnation of a request as the present one.
-    fn set_incarnation(&mut self, incarnation: u64) {
+    /// Makes the incarnation of a request the current one.
+    fn record_incarnation(&mut self, incarnation: u64) {
         if self.incarnation == incarnation {
             return;
         }
@@ -99,7 +100,7 @@
     }
 
     /// Records a grant.
-    fn set_granted(&mut self, now: Nanos, version: Version) {
+    fn record_grant(&mut self, now: Nanos, version: Version) {
         if self.granted_version < version {
             self.prior_granted_at = self.last_granted_at;
             self.granted_version = version;
@@ -110,8 +111,8 @@
 
 /// The leases that a leader has granted in its term.
 ///
-/// The table is not replicated. The next leader starts with an empty one and waits until every lease that this one may
-/// have granted has expired.
+/// The table is not replicated. The next leader starts with an empty table and waits until all leases that
+/// this leader may have granted have expired.
 #[derive(Clone, Debug)]
 pub struct LeaseTable {
     config: LeaseConfig,
@@ -121,16 +122,17 @@
 }
 
 impl LeaseTable {
-    /// Creates the table of a leader whose term begins now.
+    /// Creates the table of a leader whose term begins at `now`.
     pub fn new(config: LeaseConfig, now: Nanos) -> LeaseTable {
         LeaseTable { config, term_start: now, holders: BTreeMap::new(), departed_holders: VecDeque::new() }
     }
 
-    /// Grants a lease on a version. Returns `None` for a process that [was superseded](LeaseTable::is_superseded), because
-    /// together with its successor it would use two shares of each quota.
+    /// Grants a lease on a version. Returns `None` for a process that [is
+    /// superseded](LeaseTable::is_superseded), because the process and its successor together would use two
+    /// shares of each quota.
     ///
-    /// To be called only after a quorum has confirmed, later than the request arrived, that this leader still leads and
-    /// that `version` is the last one decided. Otherwise a lease on an old version could outlast
+    /// Must be called only after a quorum has confirmed, after the request arrived, that this leader still
+    /// leads and that `version` is the active one. Otherwise a lease on an old version could outlast
     /// [`LeaseConfig::max_overlap`].
     pub fn grant(
         &mut self,
@@ -145,14 +147,14 @@
         }
         let new_record = || HolderRecord::new(&request, self.term_start);
         let record = self.holders.entry(holder.to_owned()).or_insert_with(new_record);
-        record.set_incarnation(request.incarnation);
+        record.record_incarnation(request.incarnation);
         record.acknowledged = record.acknowledged.max(request.acknowledged);
-        record.set_granted(now, version);
+        record.record_grant(now, version);
         let step = (request.acknowledged != version).then(|| step.clone());
         Some(LeaseGrant { incarnation: request.incarnation, sequence: request.sequence, version, step })
     }
 
-    /// Whether a holder can still have a lease on a version before the given one.
+    /// Returns whether a holder can still have a lease on a version before the given one.
     pub fn prior_lease(&self, now: Nanos, holder: &str, version: Version) -> PriorLease {
         let last_prior_grant = match self.holders.get(holder) {
             Some(record) if record.acknowledged >= version => return PriorLease::Replaced,
@@ -168,12 +170,12 @@
         }
     }
 
-    /// The latest version that a holder has acknowledged in this leader's term.
+    /// Returns the latest version that a holder has acknowledged in this leader's term.
     pub fn acknowledged(&self, holder: &str) -> Option<Version> {
         self.holders.get(holder).map(|record| record.acknowledged)
     }
 
-    /// The last lease of each holder, in the order of their names.
+    /// Returns the last lease of each holder, in the order of the holders' names.
     pub fn outstanding_leases(&self) -> impl Iterator<Item = OutstandingLease<'_>> {
         let safe_expiry = self.config.safe_expiry();
         self.holders.iter().map(move |(name, record)| OutstandingLease {
@@ -183,8 +185,8 @@
         })
     }
 
-    /// Removes a holder that has left the membership. Its incarnation is remembered, so that a request that arrives late
-    /// does not make it a member again.
+    /// Removes a holder that has left the membership. Remembers its incarnation, so that a late request does
+    /// not make it a member again.
     pub fn remove_departed(&mut self, holder: &str) {
         let Some(record) = self.holders.remove(holder) else { return };
         let departed = DepartedHolder { name: holder.to_owned(), incarnation: record.incarnation };
@@ -194,7 +196,8 @@
         }
     }
 
-    /// Whether a request comes from a process that has left the membership or whose name a later process has taken over.
+    /// Returns whether a request comes from a process that has left the membership or that a later process
+    /// with the same name has replaced.
     pub fn is_superseded(&self, holder: &str, request: &LeaseRequest) -> bool {
         let replaced = self
             .holders
--- a/crates/rollout/src/rollout_plan.rs
+++ b/crates/rollout/src/rollout_plan.rs
@@ -1,6 +1,8 @@
-//! The steps from the active rules to those of a document, such that no step contradicts the one before it. The method
-//! follows online schema changes, whose intermediate states are compatible with both neighbours (Rae et al., Online,
-//! Asynchronous Schema Change in F1, VLDB 2013).
+//! Planning of the steps from the active rules to those of a document, such that no step contradicts the one
+//! before it.
+//!
+//! The method follows online schema changes, whose intermediate states are compatible with both neighbours
+//! (Rae et al., Online, Asynchronous Schema Change in F1, VLDB 2013).
 
 use std::collections::BTreeMap;
 
@@ -8,21 +10,22 @@
 use crate::key_placement::KeyPlacement;
 use crate::step::{RulesStep, WorkerAccess};
 
-/// Plans the steps that lead from the active step to the rules of a document. The last one equals the document's rules;
-/// no step contradicts the one before it. Returns no steps if nothing changes.
+/// Plans the steps that lead from the active step to the rules of a document. No step contradicts the one
+/// before it, and the last one equals the document's rules. Returns no steps if nothing changes.
 pub fn plan_steps(from: &RulesStep, document: &RulesDocument) -> Vec<RulesStep> {
     let target = RulesStep::from_document(document);
     let mut plan = Plan::starting_at(from);
-    // A member that is disconnected from here on must be limited to what all steps of the plan allow.
+    // A member that is disconnected from this step on is limited to what all later steps allow.
     plan.add_step(|step| step.degraded = common_degraded_rules(from, &target));
     plan.add_step(|step| revoke_exclusive_access(step, &target));
     plan.add_step(|step| enter_transition(step, &target));
-    // Only after every member has stopped sending others' work may a worker become exclusive.
+    // A worker becomes exclusive only after every member has stopped sending other tenants' work to it.
     plan.add_step(|step| {
         step.worker_access = target.worker_access.clone();
         step.key_placement = target.key_placement.clone();
     });
-    // Shares shrink before members are added, and members are removed before shares grow: their sum never exceeds a quota.
+    // Shares shrink before members are added, and members are removed before shares grow, so that the sum of
+    // the shares never exceeds a quota.
     plan.add_step(|step| step.quota_shares = step.quota_shares.max(target.quota_shares));
     plan.add_step(|step| step.max_members = target.max_members);
     plan.add_step(|step| step.quota_shares = target.quota_shares);
@@ -42,7 +45,7 @@
         Plan { steps: vec![from.clone()] }
     }
 
-    /// Adds the last step with a change applied, unless the change has no effect.
+    /// Adds a copy of the last step with a change applied, unless the change has no effect.
     fn add_step(&mut self, change: impl FnOnce(&mut RulesStep)) {
         let last = &self.steps[self.steps.len() - 1];
         let mut next = last.clone();
@@ -52,19 +55,19 @@
         }
     }
 
-    /// The planned steps without the one that the plan starts at.
+    /// Returns the planned steps without the one that the plan starts at.
     fn into_steps(mut self) -> Vec<RulesStep> {
         self.steps.split_off(1)
     }
 }
 
-/// Ends the exclusive access of tenants to workers that the target does not grant them.
+/// Ends the exclusive access of tenants to workers that are not exclusive to them in the target.
 fn revoke_exclusive_access(step: &mut RulesStep, target: &RulesStep) {
     for (worker, access) in &mut step.worker_access {
         let WorkerAccess::Exclusive(tenant) = access else { continue };
         let revoked = match target.worker_access.get(worker) {
             Some(WorkerAccess::Exclusive(next_tenant)) if next_tenant == tenant => continue,
-            // Between two tenants the worker is closed to both.
+            // While the worker changes from one tenant to another, it is closed to both.
             Some(WorkerAccess::Exclusive(_) | WorkerAccess::Reserved(_)) => {
                 WorkerAccess::Closed(WorkerState::Cordoned)
             }
@@ -75,18 +78,19 @@
     }
 }
 
-/// Changes the key placement to the transition between both sets of inputs, in which no member sends the keys that
-/// move, reserves the workers that become exclusive, and applies all limits at once.
+/// Changes the key placement to the transition between both sets of inputs, in which no member sends the keys
+/// that move. Also reserves the workers that become exclusive, and applies all new limits.
 fn enter_transition(step: &mut RulesStep, target: &RulesStep) {
     step.key_placement = transition(&step.key_placement, &target.key_placement);
     step.worker_access = reserve_exclusive_workers(step, target);
-    // With unchanged shares any mix of old and new quotas stays below the larger one.
+    // The number of shares does not change, so the members' shares never add up to more than the larger of
+    // the old and the new quota.
     step.quotas = target.quotas.clone();
     step.max_attempts = target.max_attempts;
     step.retry_after = target.retry_after;
 }
 
-/// The placement between two others, with which neither conflicts.
+/// Returns the placement between `from` and `to` that is compatible with both.
 fn transition(from: &KeyPlacement, to: &KeyPlacement) -> KeyPlacement {
     let (old, new) = (from.latest_inputs(), to.latest_inputs());
     if old == new {
@@ -96,7 +100,7 @@
     }
 }
 
-/// The target's access to workers, but with those only reserved that become exclusive.
+/// Returns the target's access to workers, except that workers which become exclusive are only reserved.
 fn reserve_exclusive_workers(step: &RulesStep, target: &RulesStep) -> BTreeMap<String, WorkerAccess> {
     let reserved = |(worker, access): (&String, &WorkerAccess)| {
         let access = match (step.worker_access.get(worker), access) {
@@ -111,7 +115,7 @@
     target.worker_access.iter().map(reserved).collect()
 }
 
-/// The degraded rules of the first step without what a later step of the plan forbids.
+/// Returns the part of the degraded rules of `from` that no later step of the plan forbids.
 fn common_degraded_rules(from: &RulesStep, to: &RulesStep) -> DegradedRules {
     let keeps_placement = keeps_placement_of_open_workers(from, to);
     let allowed_workers = from
@@ -131,14 +135,14 @@
     }
 }
 
-/// Whether every key that the first step places at a worker which stays open is still placed there by the second.
+/// Returns whether every key that `from` places at a worker which stays open is still placed there by `to`.
 fn keeps_placement_of_open_workers(from: &RulesStep, to: &RulesStep) -> bool {
     let (old, new) = (from.key_placement.latest_inputs(), to.key_placement.latest_inputs());
     old.list_version == new.list_version && new.excluded_workers.is_superset(&old.excluded_workers)
 }
 
-/// The part of its quota shares that a disconnected member may use without exceeding its share in any step: a share
-/// shrinks when there are more of them or when the quota is lowered.
+/// Returns the fraction of its share of each quota that a disconnected member may use without exceeding its
+/// share in any step. A share shrinks when the number of shares grows or when the quota is lowered.
 fn common_quota_share(from: &RulesStep, to: &RulesStep) -> f64 {
     let division = f64::from(from.quota_shares) / f64::from(from.quota_shares.max(to.quota_shares));
     let reduction = |(tenant, quota): (&String, &f64)| match to.quotas.get(tenant) {
--- a/crates/rollout/src/rollout_state.rs
+++ b/crates/rollout/src/rollout_state.rs
@@ -1,4 +1,5 @@
-//! The replicated state of a rollout: the same commands in the same order lead to the same state on every voter.
+//! The replicated state of a rollout. The same commands in the same order lead to the same state on every
+//! voter.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,42 +12,42 @@
 use crate::step::{RulesStep, VersionedStep};
 use crate::version::Version;
 
-/// Number of proposals that are stored for a roll-back; the limit bounds the size of a snapshot.
-const MAX_STORED_DOCUMENTS: usize = 32;
-/// Number of steps that are stored because a member may still act on their degraded rules. Once it is reached, the
-/// rollout waits for the member that lags most; the limit bounds the size of a snapshot.
-const MAX_ACTIVE_STEPS: usize = 256;
+/// Maximum number of proposals that are stored for roll-backs. It limits the size of a snapshot.
+const MAX_STORED_PROPOSALS: usize = 32;
+/// Maximum number of steps that are stored because a member may still apply their degraded rules. At the
+/// limit the rollout waits for the member that lags most. It limits the size of a snapshot.
+const MAX_STORED_STEPS: usize = 256;
 
 /// The reason why a command was rejected without changing the state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[serde(rename_all = "snake_case")]
 pub enum CommandError {
-    /// The proposal is based on one that is no longer the newest; holds the number of the newest.
-    #[error("the rules have changed meanwhile: the newest are proposal {0}")]
+    /// The proposal is based on a proposal that is not the newest; contains the number of the newest.
+    #[error("the rules have changed meanwhile: the newest proposal is {0}")]
     Conflict(u64),
-    /// No proposal of this number is stored.
-    #[error("proposal {0} is not kept")]
+    /// No proposal with this number is stored.
+    #[error("proposal {0} is not stored")]
     UnknownProposal(u64),
-    /// The membership has no room for another scheduler.
-    #[error("all seats are taken")]
+    /// The maximum number of members is reached.
+    #[error("the maximum number of members is reached")]
     MembershipFull,
 }
 
-/// The reason why the next step cannot be put in force yet.
+/// The reason why the next step cannot be activated yet.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum BlockedBy {
-    /// There are more members than the next step permits.
+    /// There are more members than the next step allows.
     #[error("more schedulers sit at the table than the next step has seats")]
     MemberLimit,
-    /// A member may be disconnected and act on degraded rules that the next step contradicts.
+    /// A member may be disconnected and apply degraded rules that the next step contradicts.
     #[error("{member} may be cut off and act carefully, and {contradiction}")]
     DegradedMember {
         /// The name of the member.
         member: String,
-        /// What its degraded rules and the next step contradict each other in.
+        /// The contradiction between the member's degraded rules and the next step.
         contradiction: Contradiction,
     },
-    /// The maximum number of steps is stored because of a member that has not acknowledged a later one.
+    /// The maximum number of steps is stored, because a member has not acknowledged a later one.
     #[error("{member} is too many steps behind")]
     LaggingMember {
         /// The name of the member.
@@ -57,7 +58,7 @@
 /// A document that was proposed, with its number.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The number of the proposal: 1 for the first document, one more for each later one.
+    /// The number of the proposal. The first document has number 1, and each later one has the next number.
     pub number: u64,
     /// The proposed rules.
     pub document: RulesDocument,
@@ -65,23 +66,24 @@
 
 /// The active rules, the pending steps and the membership.
 ///
-/// Voters store this type in their snapshots: the order and types of its fields are part of the storage format.
+/// Voters store this type in their snapshots, so the order and types of its fields are part of the storage
+/// format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutState {
     /// The version of the active step.
     version: Version,
-    /// All steps from the earliest that a member may still act on to the active one; never empty.
+    /// All steps from the earliest one that a member may still apply to the active one; never empty.
     steps: VecDeque<VersionedStep>,
     /// The steps that lead from the active one to the newest proposal.
     pending: VecDeque<RulesStep>,
-    /// Stored proposals in the order of their numbers.
+    /// The stored proposals in the order of their numbers.
     proposals: VecDeque<Proposal>,
-    /// The members, each with the earliest version that it may still act on, if only by its degraded rules.
+    /// The members, each with the earliest version whose rules or degraded rules it may still apply.
     members: BTreeMap<String, Version>,
 }
 
 impl RolloutState {
-    /// Creates a state in which the document is active as proposal 1 and that has no members.
+    /// Creates a state without members in which the document is active as proposal 1.
     pub fn new(document: RulesDocument) -> RolloutState {
         let version = Version { term: 0, number: 1 };
         let first_step = VersionedStep { version, step: RulesStep::from_document(&document) };
@@ -94,33 +96,35 @@
         }
     }
 
-    /// The active step, which is the last one that was put in force.
+    /// Returns the active step, which is the last one that was activated.
     pub fn active(&self) -> &VersionedStep {
         &self.steps[self.steps.len() - 1]
     }
 
-    /// The number of steps that have not been put in force yet.
+    /// Returns the number of steps that have not been activated yet.
     pub fn pending_steps(&self) -> usize {
         self.pending.len()
     }
 
-    /// The stored proposals in the order of their numbers.
+    /// Returns the stored proposals in the order of their numbers.
     pub fn proposals(&self) -> impl Iterator<Item = &Proposal> {
         self.proposals.iter()
     }
 
-    /// The number of the newest proposal.
+    /// Returns the number of the newest proposal.
     fn newest_proposal(&self) -> u64 {
         self.proposals.back().map_or(0, |proposal| proposal.number)
     }
 
-    /// The members in the order of their names, each with the earliest version that it may still act on.
+    /// Returns the members in the order of their names, each with the earliest version that it may still
+    /// apply.
     pub fn members(&self) -> impl Iterator<Item = (&str, Version)> {
         self.members.iter().map(|(name, version)| (name.as_str(), *version))
     }
 
-    /// Makes a document the newest proposal and plans the steps to it from the active step; returns its number. Pending
-    /// steps to an earlier proposal are dropped. `base` is the proposal that the proposer knows as the newest.
+    /// Makes a document the newest proposal, plans the steps to it from the active step, and returns the
+    /// number of the proposal. Drops the pending steps to an earlier proposal. `base` is the newest proposal
+    /// that the proposer knows.
     ///
     /// # Errors
     ///
@@ -132,17 +136,18 @@
         self.pending = plan_steps(&self.active().step, &document).into();
         let number = base + 1;
         self.proposals.push_back(Proposal { number, document });
-        if self.proposals.len() > MAX_STORED_DOCUMENTS {
+        if self.proposals.len() > MAX_STORED_PROPOSALS {
             self.proposals.pop_front();
         }
         Ok(number)
     }
 
-    /// Proposes the document of an earlier proposal again; returns the number of the new proposal.
+    /// Proposes the document of an earlier proposal again and returns the number of the new proposal.
     ///
     /// # Errors
     ///
-    /// [`CommandError::UnknownProposal`] if proposal `to` is not stored, and those of [`RolloutState::propose`].
+    /// [`CommandError::UnknownProposal`] if proposal `to` is not stored, and the errors of
+    /// [`RolloutState::propose`].
     pub fn roll_back(&mut self, base: u64, to: u64) -> Result<u64, CommandError> {
         let earlier = self.proposals.iter().find(|proposal| proposal.number == to);
         let document =
@@ -150,11 +155,11 @@
         self.propose(base, document)
     }
 
-    /// Adds a scheduler to the members; has no effect on one that already is a member.
+    /// Adds a scheduler to the members. Has no effect if it already is a member.
     ///
     /// # Errors
     ///
-    /// [`CommandError::MembershipFull`] if there is no room for it.
+    /// [`CommandError::MembershipFull`] if the maximum number of members is reached.
     pub fn join(&mut self, name: &str) -> Result<(), CommandError> {
         if self.can_join(name)? {
             self.members.insert(name.to_owned(), self.version);
@@ -162,16 +167,16 @@
         Ok(())
     }
 
-    /// Whether [`RolloutState::join`] would add a scheduler; `false` if it already is a member.
+    /// Returns whether [`RolloutState::join`] would add a scheduler; `false` if it already is a member.
     ///
     /// # Errors
     ///
-    /// [`CommandError::MembershipFull`] if it is no member and there is no room for it.
+    /// [`CommandError::MembershipFull`] if it is not a member and the maximum number of members is reached.
     pub fn can_join(&self, name: &str) -> Result<bool, CommandError> {
         if self.members.contains_key(name) {
             return Ok(false);
         }
-        // Pending steps that lower the limit count too: a new member would delay them further.
+        // Pending steps that lower the limit count too, because a new member would delay them further.
         let pending_limits = self.pending.iter().map(|step| step.max_members);
         let max_members = pending_limits.fold(self.active().step.max_members, u32::min);
         if self.members.len() < max_members as usize {
@@ -181,15 +186,16 @@
         }
     }
 
-    /// Removes a member that acts on no rules any more, because it has shut down or the operator has verified that it is
-    /// down.
+    /// Removes a member that no longer applies any rules, because it has shut down or because the operator
+    /// has verified that it is down.
     pub fn leave(&mut self, name: &str) {
         self.members.remove(name);
         self.drop_unused_steps();
     }
 
-    /// The reason why the next step cannot be put in force, leases aside, given the versions that members have
-    /// acknowledged; `None` if nothing is in its way or no step is pending.
+    /// Returns the reason why the next step cannot be activated, given the versions that members have
+    /// acknowledged. Returns `None` if no step is pending or nothing blocks the next one. Does not consider
+    /// leases.
     pub fn blocked_by(&self, acknowledged: &BTreeMap<String, Version>) -> Option<BlockedBy> {
         let next = self.pending.front()?;
         if self.members.len() > next.max_members as usize {
@@ -201,9 +207,9 @@
         })
     }
 
-    /// The reason why a member that may act on all versions from `earliest` on blocks the next step.
+    /// Returns the reason why a member that may apply any version from `earliest` on blocks the next step.
     fn blocked_by_member(&self, member: &str, earliest: Version, next: &RulesStep) -> Option<BlockedBy> {
-        // Includes the active step: its holder may be disconnected before it learns of the next one.
+        // Includes the active step, because the member may be disconnected before it receives the next one.
         let usable_steps = self.steps.iter().filter(|versioned| versioned.version >= earliest);
         let contradiction = usable_steps
             .map(|versioned| &versioned.step)
@@ -211,16 +217,17 @@
         if let Some(contradiction) = contradiction {
             return Some(BlockedBy::DegradedMember { member: member.to_owned(), contradiction });
         }
-        if earliest < self.version && self.steps.len() >= MAX_ACTIVE_STEPS {
+        if earliest < self.version && self.steps.len() >= MAX_STORED_STEPS {
             return Some(BlockedBy::LaggingMember { member: member.to_owned() });
         }
         None
     }
 
-    /// Puts the next step in force under the leader's term, unless it [is blocked](Self::blocked_by), and returns its
-    /// version. `acknowledged` holds the versions that members have acknowledged.
+    /// Activates the next step under the leader's term, unless it [is blocked](Self::blocked_by), and returns
+    /// its version. `acknowledged` contains the versions that members have acknowledged.
     ///
-    /// The leader must propose this command only when no member can hold a lease on a version before the active one.
+    /// The leader may propose this command only if no member can hold a lease on a version before the active
+    /// one.
     pub fn advance(&mut self, term: u64, acknowledged: &BTreeMap<String, Version>) -> Option<Version> {
         if self.blocked_by(acknowledged).is_some() {
             return None;
@@ -237,7 +244,7 @@
         Some(self.version)
     }
 
-    /// Drops the steps before the earliest that a member may still act on.
+    /// Drops the steps before the earliest one that a member may still apply.
     fn drop_unused_steps(&mut self) {
         let earliest = self.members.values().min().copied().unwrap_or(self.version);
         while self.steps.len() > 1 && self.steps[0].version < earliest {
--- a/crates/rollout/src/step.rs
+++ b/crates/rollout/src/step.rs
@@ -1,4 +1,4 @@
-//! Rules in the form in which schedulers act on them.
+//! Rules in the form that schedulers apply.
 
 use std::collections::BTreeMap;
 
@@ -8,42 +8,44 @@
 use crate::key_placement::{KeyPlacement, PlacementInputs};
 use crate::version::Version;
 
-/// Which tenants' new work a worker may be sent.
+/// Which tenants' new work may be sent to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkerAccess {
-    /// No tenant's; the [`WorkerState`] says what becomes of work that it already has.
+    /// No new work. The [`WorkerState`] determines what happens to the work that the worker already has.
     Closed(WorkerState),
-    /// Only this tenant's, which may also go to other workers: the state before and after [`WorkerAccess::Exclusive`].
+    /// Only this tenant's work, which may also go to other workers. This is the state before and after
+    /// [`WorkerAccess::Exclusive`].
     Reserved(String),
-    /// Only this tenant's, which goes to no other workers.
+    /// Only this tenant's work, which goes only to workers that are exclusive to it.
     Exclusive(String),
 }
 
 /// One step of a rollout: a complete set of rules.
 ///
-/// Voters store this type and send it to lease holders: the order and types of its fields are part of both formats.
+/// Voters store this type and send it to lease holders, so the order and types of its fields are part of the
+/// storage format and of the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RulesStep {
-    /// The largest number of schedulers that may be members.
+    /// The maximum number of members.
     pub max_members: u32,
-    /// The number of equal shares into which each quota is divided; never fewer than there may be members.
+    /// The number of equal shares into which each quota is divided; at least `max_members`.
     pub quota_shares: u32,
-    /// The largest number of attempts for one request.
+    /// The maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// The bounds of the Retry-After that a rejection names.
+    /// The bounds of the Retry-After value in a rejection.
     pub retry_after: RetryAfterRange,
-    /// The quota of each limited tenant at all schedulers together, in requests per second.
+    /// The quota of each limited tenant over all schedulers, in requests per second.
     pub quotas: BTreeMap<String, f64>,
     /// The workers that are not open to all tenants.
     pub worker_access: BTreeMap<String, WorkerAccess>,
     /// How keyed jobs are placed.
     pub key_placement: KeyPlacement,
-    /// What a scheduler may do whose lease has lapsed.
+    /// What a scheduler may do after its lease has expired.
     pub degraded: DegradedRules,
 }
 
-/// A step with the version under which it was put in force.
+/// A step with the version under which it was activated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionedStep {
     /// The version of the step.
@@ -53,7 +55,7 @@
 }
 
 impl RulesStep {
-    /// The rules of a document without regard to any step before it.
+    /// Converts a document to the step that contains its rules, regardless of the steps before it.
     pub fn from_document(document: &RulesDocument) -> RulesStep {
         let access =
             |(worker, state): (&String, &WorkerState)| (worker.clone(), WorkerAccess::from_state(state));
@@ -68,16 +70,18 @@
                 list_version: document.list_version,
                 excluded_workers: document.workers.keys().cloned().collect(),
             }),
-            degraded: open_degraded_rules(document),
+            degraded: degraded_rules_on_open_workers(document),
         }
     }
 
-    /// One member's share of a tenant's quota while its lease is valid; infinite for a tenant without a quota.
+    /// Returns the share of a tenant's quota that one member may use while its lease is valid; infinite for a
+    /// tenant without a quota.
     pub fn member_quota(&self, tenant: &str) -> f64 {
         self.quotas.get(tenant).map_or(f64::INFINITY, |quota| quota / f64::from(self.quota_shares))
     }
 
-    /// One member's share of a tenant's quota while its lease has lapsed; for a tenant without a quota infinite or zero.
+    /// Returns the share of a tenant's quota that one member may use after its lease has expired. For a
+    /// tenant without a quota it is infinite or zero.
     pub fn degraded_member_quota(&self, tenant: &str) -> f64 {
         match self.quotas.get(tenant) {
             Some(quota) => quota / f64::from(self.quota_shares) * self.degraded.quota_share,
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Whether a tenant's new work may be sent to a worker.
+    /// Returns whether a tenant's new work may be sent to a worker.
     pub fn allows(&self, worker: &str, tenant: &str) -> bool {
         match self.worker_access.get(worker) {
             None => !self.has_exclusive_worker(tenant),
@@ -97,26 +101,26 @@
         }
     }
 
-    /// Whether some worker is exclusive to a tenant.
+    /// Returns whether any worker is exclusive to a tenant.
     fn has_exclusive_worker(&self, tenant: &str) -> bool {
         let exclusive = WorkerAccess::Exclusive(tenant.to_owned());
         self.worker_access.values().any(|access| *access == exclusive)
     }
 
-    /// Whether a tenant's new work may be sent to a worker while the lease has lapsed.
+    /// Returns whether a tenant's new work may be sent to a worker after the lease has expired.
     pub fn degraded_allows(&self, worker: &str, tenant: &str) -> bool {
-        self.degraded_covers(worker) && self.allows(worker, tenant)
+        self.degraded_allows_worker(worker) && self.allows(worker, tenant)
     }
 
-    /// Whether the degraded rules permit the use of a worker at all.
-    pub(crate) fn degraded_covers(&self, worker: &str) -> bool {
+    /// Returns whether the degraded rules allow the use of a worker for any tenant.
+    pub(crate) fn degraded_allows_worker(&self, worker: &str) -> bool {
         self.degraded.allowed_workers.contains(worker)
             || self.degraded.allows_unlisted_workers && !self.worker_access.contains_key(worker)
     }
 }
 
 impl WorkerAccess {
-    /// The access to a worker that a document gives a state.
+    /// Converts the state of a worker in a document to the access in a step.
     fn from_state(state: &WorkerState) -> WorkerAccess {
         match state {
             WorkerState::Pinned(tenant) => WorkerAccess::Exclusive(tenant.clone()),
@@ -125,8 +129,8 @@
     }
 }
 
-/// A document's degraded rules without the workers that are not open to all tenants.
-fn open_degraded_rules(document: &RulesDocument) -> DegradedRules {
+/// Returns the degraded rules of a document without the allowed workers that are not open to all tenants.
+fn degraded_rules_on_open_workers(document: &RulesDocument) -> DegradedRules {
     let mut degraded = document.degraded.clone();
     degraded.allowed_workers.retain(|worker| !document.workers.contains_key(worker));
     degraded
--- a/crates/rollout/src/toml_reader.rs
+++ b/crates/rollout/src/toml_reader.rs
@@ -1,4 +1,4 @@
-//! A reader of TOML that takes one field after the other and collects all errors, each with its line.
+//! A TOML reader that reads field by field and collects all errors, each with its line.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,33 +8,33 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// Number of errors of one text that are kept.
+/// Maximum number of errors that are collected from one text.
 const MAX_ERRORS: usize = 100;
-/// Length of the longest string that a field may have, in bytes.
+/// Maximum length of a string in a field, in bytes.
 const MAX_STRING_BYTES: usize = 256;
 
 /// One error in a document.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("line {line}: {field}: {problem}")]
 pub struct DocumentError {
-    /// The line, counted from 1.
+    /// The line number, counted from 1.
     pub line: usize,
-    /// The path of the field, with dots between its parts.
+    /// The path of the field, with dots between the keys.
     pub field: String,
     /// What is wrong with the field.
     pub problem: String,
 }
 
-/// All errors in a document, in the order of their lines. Its text has one line for each.
+/// All errors in a document, in the order of their lines. The error message has one line for each of them.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{}", lines(errors))]
+#[error("{}", format_errors(errors))]
 pub struct InvalidDocument {
     /// The errors; at least one.
     pub errors: Vec<DocumentError>,
 }
 
-/// The texts of all errors, one a line.
-fn lines(errors: &[DocumentError]) -> String {
+/// Formats errors, one per line.
+fn format_errors(errors: &[DocumentError]) -> String {
     let lines: Vec<String> = errors.iter().map(DocumentError::to_string).collect();
     lines.join("\n")
 }
@@ -46,13 +46,14 @@
     errors: RefCell<Vec<DocumentError>>,
 }
 
-/// One table of the text. Its methods return `None` for a field that is missing or wrong, and report what is wrong.
+/// One table of the text. The reading methods return `None` for a field that is missing or invalid, and
+/// report invalid fields.
 pub struct TomlTable<'r, 'a> {
     reader: &'r TomlReader<'a>,
     /// `None` if the table is missing.
     table: Option<&'r DeTable<'a>>,
     path: String,
-    /// Where the table begins in the text, in bytes.
+    /// The byte offset of the table in the text.
     offset: usize,
 }
 
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Reads the root table, which may have no other than the known fields. `path` is prefixed to the paths of fields.
+    /// Reads the root table and reports its unknown fields. `path` is prefixed to the paths of fields in
+    /// errors.
     pub fn read_root<T>(
         &mut self,
         path: &str,
@@ -88,7 +90,7 @@
         read(&table)
     }
 
-    /// Reports an error that concerns several fields, at the field of this path.
+    /// Reports an error that concerns several fields, at the field with the given path.
     pub fn report(&self, path: &[&str], problem: &str) {
         let mut table = Some(&self.root);
         let mut offset = 0;
@@ -103,7 +105,7 @@
         self.report_at(offset, &path.join("."), problem);
     }
 
-    /// Reports an error at a byte of the text.
+    /// Reports an error at a byte offset in the text.
     fn report_at(&self, offset: usize, field: &str, problem: &str) {
         let mut errors = self.errors.borrow_mut();
         if errors.len() < MAX_ERRORS {
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Returns what was read if no error was reported.
+    /// Returns `read` if no error was reported.
     ///
     /// # Errors
     ///
@@ -131,14 +133,15 @@
     }
 }
 
-/// The line of a byte of a text, counted from 1.
+/// Returns the line number of a byte offset in a text, counted from 1.
 fn line_at(text: &str, offset: usize) -> usize {
     let before = &text.as_bytes()[..offset.min(text.len())];
     1 + before.iter().filter(|byte| **byte == b'\n').count()
 }
 
-/// The string of a value, if it is one of a permitted length.
-fn permitted_string<'v>(value: &'v DeValue<'_>) -> Option<&'v str> {
+/// Returns the string in a value. Returns `None` if the value is not a string, or is an empty or too long
+/// one.
+fn valid_string<'v>(value: &'v DeValue<'_>) -> Option<&'v str> {
     match value {
         DeValue::String(text) if !text.is_empty() && text.len() <= MAX_STRING_BYTES => Some(text),
         _ => None,
@@ -146,7 +149,7 @@
 }
 
 impl<'r, 'a> TomlTable<'r, 'a> {
-    /// The full path of a field.
+    /// Returns the full path of a field.
     fn path_of(&self, field: &str) -> String {
         if self.path.is_empty() {
             field.to_owned()
@@ -161,12 +164,12 @@
         self.reader.report_at(offset, &self.path_of(field), problem);
     }
 
-    /// The value of a field.
+    /// Returns the value of a field.
     fn get(&self, field: &str) -> Option<&'r Spanned<DeValue<'a>>> {
         self.table?.get(field)
     }
 
-    /// Reports all fields but the known ones.
+    /// Reports all fields that are not known.
     pub fn deny_unknown(&self, known: &[&str]) {
         for key in self.table.into_iter().flat_map(DeTable::keys) {
             if !known.contains(&key.get_ref().as_ref()) {
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Reads a number of either type.
+    /// Reads an integer or a floating-point number.
     fn number(&self, field: &str) -> Option<f64> {
         let digits = match self.get(field)?.get_ref() {
             DeValue::Integer(integer) => integer.as_str().replace('_', ""),
@@ -212,7 +215,7 @@
     /// Reads a list of two integers from `low` to `high`, the first not above the second.
     pub fn integer_range(&self, field: &str, low: u32, high: u32) -> Option<RangeInclusive<u32>> {
         let DeValue::Array(items) = self.get(field)?.get_ref() else {
-            self.report(field, "must be [least, most]");
+            self.report(field, "must be [min, max]");
             return None;
         };
         let integer = |index: usize| match items.get(index)?.get_ref() {
@@ -222,7 +225,7 @@
         match (integer(0), integer(1), items.len()) {
             (Some(start), Some(end), 2) if low <= start && start <= end && end <= high => Some(start..=end),
             _ => {
-                self.report(field, &format!("must be [least, most] from {low} to {high}"));
+                self.report(field, &format!("must be [min, max] with both from {low} to {high}"));
                 None
             }
         }
@@ -230,9 +233,9 @@
 
     /// Reads a string that is neither empty nor too long.
     pub fn string(&self, field: &str) -> Option<String> {
-        let string = permitted_string(self.get(field)?.get_ref());
+        let string = valid_string(self.get(field)?.get_ref());
         if string.is_none() {
-            self.report(field, &format!("must be a text of 1 to {MAX_STRING_BYTES} bytes"));
+            self.report(field, &format!("must be a string of 1 to {MAX_STRING_BYTES} bytes"));
         }
         string.map(str::to_owned)
     }
@@ -248,7 +251,7 @@
         }
     }
 
-    /// Reads a string that must be one of the choices. The field must not be missing.
+    /// Reads a string that must be one of the choices. Reports the field if it is missing.
     pub fn one_of<'c>(&self, field: &str, choices: &[&'c str]) -> Option<&'c str> {
         let choice = match self.get(field).map(Spanned::get_ref) {
             Some(DeValue::String(text)) => choices.iter().find(|choice| **choice == text.as_ref()).copied(),
@@ -260,29 +263,33 @@
         choice
     }
 
-    /// Reads a list of strings without duplicates; an empty set if it is missing, wrong or too long.
-    pub fn string_set(&self, field: &str, max_len: usize) -> BTreeSet<String> {
+    /// Reads a list of strings without duplicates. Returns an empty set if it is missing, invalid or too
+    /// long.
+    pub fn string_set(&self, field: &str, max_entries: usize) -> BTreeSet<String> {
         let mut strings = BTreeSet::new();
         let Some(value) = self.get(field) else { return strings };
         let DeValue::Array(items) = value.get_ref() else {
-            self.report(field, "must be a list of texts");
+            self.report(field, "must be a list of strings");
             return strings;
         };
-        if items.len() > max_len {
-            self.report(field, &format!("has over {max_len}"));
+        if items.len() > max_entries {
+            self.report(field, &format!("must have at most {max_entries} entries"));
             return strings;
         }
         for item in items.iter() {
-            let is_new =
-                permitted_string(item.get_ref()).is_some_and(|string| strings.insert(string.to_owned()));
+            let is_new = valid_string(item.get_ref()).is_some_and(|string| strings.insert(string.to_owned()));
             if !is_new {
-                self.reader.report_at(item.span().start, &self.path_of(field), "must be texts, each once");
+                self.reader.report_at(
+                    item.span().start,
+                    &self.path_of(field),
+                    "must be distinct strings of a permitted length",
+                );
             }
         }
         strings
     }
 
-    /// Reads a nested table; one without fields if it is missing.
+    /// Reads a nested table. A missing table is read as one without fields.
     pub fn table<T>(&self, field: &str, read: impl FnOnce(&TomlTable<'r, 'a>) -> T) -> T {
         let value = self.get(field);
         let table = value.and_then(|value| match value.get_ref() {
@@ -295,26 +302,26 @@
         read(&self.nested(field, table, value.map_or(self.offset, |value| value.span().start)))
     }
 
-    /// The table of a field.
+    /// Creates the reader of a field's table.
     fn nested(&self, field: &str, table: Option<&'r DeTable<'a>>, offset: usize) -> TomlTable<'r, 'a> {
         TomlTable { reader: self.reader, table, path: self.path_of(field), offset }
     }
 
-    /// Reads a table of tables by name; an empty map if it is missing, wrong or too large.
+    /// Reads a table that contains named tables. Returns an empty map if it is missing, invalid or too large.
     pub fn tables_by_name<T>(
         &self,
         field: &str,
-        max_len: usize,
+        max_entries: usize,
         read: impl Fn(&TomlTable<'_, 'a>) -> T,
     ) -> BTreeMap<String, T> {
         let mut named = BTreeMap::new();
         let Some(value) = self.get(field) else { return named };
         let DeValue::Table(tables) = value.get_ref() else {
-            self.report(field, "must hold tables by name");
+            self.report(field, "must be a table of named tables");
             return named;
         };
-        if tables.len() > max_len {
-            self.report(field, &format!("has over {max_len}"));
+        if tables.len() > max_entries {
+            self.report(field, &format!("must have at most {max_entries} entries"));
             return named;
         }
         let outer = self.nested(field, Some(tables), value.span().start);
--- a/crates/rollout/src/version.rs
+++ b/crates/rollout/src/version.rs
@@ -1,21 +1,21 @@
-//! Identification of rules steps.
+//! The version of a rules step.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// The version of a rules step. Versions are ordered by number; the term makes the version of a step that another
-/// leader put in force under the same number distinguishable.
+/// Identifies a rules step. Versions are ordered by number first. The term distinguishes steps that different
+/// leaders activated under the same number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// The number of the step, which grows by one with each step.
+    /// The number of the step. Each step has the number of the step before it plus one.
     pub number: u64,
-    /// The Raft term of the leader that put the step in force.
+    /// The Raft term of the leader that activated the step.
     pub term: u64,
 }
 
 impl fmt::Display for Version {
-    /// Writes `term.number`.
+    /// Formats the version as `term.number`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}", self.term, self.number)
     }
