--- a/crates/rollout/src/contradiction.rs
+++ b/crates/rollout/src/contradiction.rs
@@ -20,7 +20,8 @@
     QuotaExceeded(String),
     /// One step restricts this worker, and the other step allows work on it that the restriction forbids.
     #[error("{0} could get another tenant's work")]
-    ReservedWorker(String),
+    #[serde(rename = "reserved_worker")]
+    RestrictedWorker(String),
     /// The same key could be sent to two racks.
     #[error("keys could be sent to two racks")]
     KeyPlacement,
@@ -35,7 +36,7 @@
             return Some(Contradiction::QuotaExceeded(tenant.clone()));
         }
         if let Some(worker) = self.shared_exclusive_worker(other) {
-            return Some(Contradiction::ReservedWorker(worker.clone()));
+            return Some(Contradiction::RestrictedWorker(worker.clone()));
         }
         if !self.key_placement.is_compatible_with(&other.key_placement) {
             return Some(Contradiction::KeyPlacement);
@@ -93,7 +94,7 @@
         }
         for worker in active.worker_access.keys() {
             if self.degraded_allows_worker(worker) {
-                return Some(Contradiction::ReservedWorker(worker.clone()));
+                return Some(Contradiction::RestrictedWorker(worker.clone()));
             }
         }
         let may_send = self.degraded.allows_unlisted_workers || !self.degraded.allowed_workers.is_empty();
--- a/crates/rollout/tests/rollout_state.rs
+++ b/crates/rollout/tests/rollout_state.rs
@@ -113,7 +113,7 @@
     assert_eq!(blocked_by(document(15.0, &[("other", WorkerState::Cordoned)], &["core"])), None);
     let quota = Contradiction::QuotaExceeded("a".to_owned());
     assert_eq!(blocked_by(document(14.9, &[], &["core"])), Some(blocked_by_s2(quota)));
-    let worker = Contradiction::ReservedWorker("core".to_owned());
+    let worker = Contradiction::RestrictedWorker("core".to_owned());
     let cordon = document(30.0, &[("core", WorkerState::Cordoned)], &[]);
     assert_eq!(blocked_by(cordon.clone()), Some(blocked_by_s2(worker)));
     let relisted = RulesDocument { list_version: 7, ..document(30.0, &[], &["core"]) };
