--- a/crates/rollout/tests/documents.rs
+++ b/crates/rollout/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Parsing of documents: all errors are reported at once, each with its line and field.
+//! Tests of the parsing of documents. All errors are reported at once, each with its line and field.
 
 use nickelflow_rollout::{RetryAfterRange, RulesDocument, WorkerState};
 use rstest::rstest;
@@ -56,7 +56,10 @@
 #[case::unknown_worker_state("[workers.w]\nstanding = \"tired\"", &[(2, "workers.w.standing")])]
 #[case::not_a_table("tenants = 3", &[(1, "tenants")])]
 #[case::duplicate("[careful]\nworkers = [\"a\", \"a\"]", &[(2, "careful.workers")])]
-#[case::excluded_and_allowed_while_degraded("[workers.w]\nstanding = \"never\"\n[careful]\nworkers = [\"w\"]", &[(4, "careful.workers")])]
+#[case::excluded_and_allowed_while_degraded(
+    "[workers.w]\nstanding = \"never\"\n[careful]\nworkers = [\"w\"]",
+    &[(4, "careful.workers")]
+)]
 #[case::several(
     "attempts = 0\nx = 1\n[tenants.a]\nquota = 1\n[careful]\nshare = 2",
     &[(1, "attempts"), (2, "x"), (4, "tenants.a.quota"), (6, "careful.share")]
--- a/crates/rollout/tests/lease_model.rs
+++ b/crates/rollout/tests/lease_model.rs
@@ -1,7 +1,7 @@
-//! A model check of the lease protocol: every order of events with three schedulers, three versions, messages that are lost
-//! and reordered, crashes, a new leader and lapsed leases. The state machines are the real ones; only time is in ticks.
+//! A model check of the lease protocol. It visits every order of events with three schedulers, three versions, lost and
+//! reordered messages, crashes, a new leader and expired leases. It runs the real state machines, with time in ticks.
 //!
-//! A lease lasts two ticks, and clocks do not drift. Version 3 may not be in force at the same time as version 1, nor as the
+//! A lease lasts two ticks, and clocks do not drift. Version 3 must not be in effect at the same time as version 1 or the
 //! degraded rules of version 1.
 
 use std::hash::{Hash, Hasher};
@@ -15,30 +15,30 @@
 
 const SCHEDULERS: usize = 3;
 const LEASE_DURATION: Nanos = 2;
-// Bounds of the search: time, requests of each scheduler, and the numbers of delayed exchanges, crashes and elections of
-// all together. A delayed message is lost if it is still under way at the end. All schedulers begin with a lease on version
-// 1 that they have acknowledged.
+// Bounds of the search: the time, the requests of each scheduler, and the delayed exchanges, crashes and leader changes in
+// total. A delayed message that is still in flight at the end is lost. All schedulers start with a lease on version 1 and
+// have acknowledged it.
 const MAX_TIME: Nanos = 3;
 const MAX_REQUESTS: u64 = 2;
-const MAX_DELAYED: u64 = 1;
+const MAX_DELAYED_EXCHANGES: u64 = 1;
 const MAX_CRASHES: u64 = 1;
-const MAX_ELECTIONS: u64 = 1;
+const MAX_LEADER_CHANGES: u64 = 1;
 
-/// The fault that is injected.
+/// The fault that is injected into the protocol, to show that the properties find it.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
-    /// Holders honour their leases for longer.
-    LeaseTooLong,
-    /// Version 3 is put in force before all holders have acknowledged version 2 or their leases have expired.
+    /// Holders use their leases for one tick longer.
+    LeaseUsedTooLong,
+    /// Version 3 is activated before all holders have acknowledged version 2 or their leases have expired.
     NoWaiting,
-    /// Leases are waited for, but degraded rules are not.
-    IgnoresDegraded,
-    /// As before, and a new leader does not wait for the leases that the one before granted.
-    ForgetsGrants,
+    /// The leader waits for leases, but not for holders whose degraded rules contradict the next version.
+    DegradedRulesIgnored,
+    /// Degraded rules are ignored, and a new leader does not wait for the leases that its predecessor granted.
+    EarlierGrantsForgotten,
 }
 
-/// What one incarnation of a scheduler differs from the next by; more than there are schedulers.
+/// The difference between consecutive incarnations of a scheduler; more than the number of schedulers.
 const INCARNATION_STEP: u64 = 10;
 
 struct LeaseModel {
@@ -51,20 +51,20 @@
 struct State {
     now: Nanos,
     version: u64,
-    /// When each version was decided, the first at index 0.
-    decided_at: Vec<Nanos>,
+    /// The time at which each version was activated, the first at index 0.
+    activated_at: Vec<Nanos>,
     lease_table: LeaseTable,
     holders: Vec<LeaseHolder>,
     incarnations: Vec<u64>,
     request_counts: Vec<u64>,
-    delayed: u64,
-    elections: u64,
+    delayed_exchanges: u64,
+    leader_changes: u64,
     requests: Vec<(usize, LeaseRequest)>,
     grants: Vec<(usize, LeaseGrant)>,
 }
 
 impl State {
-    /// The whole state as text, because steps contain floats, which have no hash.
+    /// Returns the whole state as text. Steps contain floats, which do not implement `Hash`.
     fn key(&self) -> String {
         format!("{self:?}")
     }
@@ -85,24 +85,24 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
     Tick,
-    /// A complete exchange within a tick.
-    Exchange(usize),
-    /// A delayed exchange begins.
+    /// A holder sends a request and receives the grant within a tick.
+    Renew(usize),
+    /// A holder sends a request that is delayed.
     SendRequest(usize),
-    /// The request of this index arrives, and its grant is sent.
+    /// The delayed request at this index arrives, and the grant is sent.
     DeliverRequest(usize),
-    /// The grant of this index arrives.
+    /// The delayed grant at this index arrives.
     DeliverGrant(usize),
-    Decide,
+    Advance,
     Crash(usize),
-    Elect,
+    ReplaceLeader,
 }
 
 fn version(number: u64) -> Version {
     Version { term: 1, number }
 }
 
-fn name(n: usize) -> &'static str {
+fn holder_name(n: usize) -> &'static str {
     ["a", "b", "c"][n]
 }
 
@@ -113,23 +113,26 @@
     }
 
     fn holder(&self, incarnation: u64) -> LeaseHolder {
-        let lease = if self.fault == Fault::LeaseTooLong { LEASE_DURATION + 1 } else { LEASE_DURATION };
+        let lease = if self.fault == Fault::LeaseUsedTooLong { LEASE_DURATION + 1 } else { LEASE_DURATION };
         LeaseHolder::new(LeaseConfig::new(lease, 1, 0.0).expect("a valid configuration"), incarnation)
     }
 
-    /// Whether the next version may be decided.
-    fn may_decide(&self, state: &State) -> bool {
-        let settled = (0..SCHEDULERS).all(|n| {
+    /// Returns whether the next version may be activated.
+    fn can_advance(&self, state: &State) -> bool {
+        let prior_leases_over = (0..SCHEDULERS).all(|n| {
             self.fault == Fault::NoWaiting
-                || state.lease_table.prior_lease(state.now, name(n), version(state.version)).is_over()
+                || state.lease_table.prior_lease(state.now, holder_name(n), version(state.version)).is_over()
         });
         // Version 3 forbids what the degraded rules of version 1 allow.
-        let acknowledged =
-            (0..SCHEDULERS).all(|n| state.lease_table.acknowledged(name(n)) >= Some(version(2)));
+        let all_acknowledged =
+            (0..SCHEDULERS).all(|n| state.lease_table.acknowledged(holder_name(n)) >= Some(version(2)));
         let degraded_respected = state.version < 2
-            || acknowledged
-            || matches!(self.fault, Fault::IgnoresDegraded | Fault::NoWaiting | Fault::ForgetsGrants);
-        state.version < 3 && settled && degraded_respected
+            || all_acknowledged
+            || matches!(
+                self.fault,
+                Fault::DegradedRulesIgnored | Fault::NoWaiting | Fault::EarlierGrantsForgotten
+            );
+        state.version < 3 && prior_leases_over && degraded_respected
     }
 }
 
@@ -141,19 +144,19 @@
         let mut initial = State {
             now: 1,
             version: 1,
-            decided_at: vec![0],
+            activated_at: vec![0],
             lease_table: LeaseTable::new(self.config, 1),
             holders: (0..SCHEDULERS).map(|n| self.holder(n as u64)).collect(),
             incarnations: (0..SCHEDULERS as u64).collect(),
             request_counts: vec![0; SCHEDULERS],
-            delayed: 0,
-            elections: 0,
+            delayed_exchanges: 0,
+            leader_changes: 0,
             requests: vec![],
             grants: vec![],
         };
         for n in (0..SCHEDULERS).chain(0..SCHEDULERS) {
             let request = initial.holders[n].next_request(1);
-            let grant = initial.lease_table.grant(1, name(n), request, version(1), &self.step);
+            let grant = initial.lease_table.grant(1, holder_name(n), request, version(1), &self.step);
             initial.holders[n].accept(1, grant.expect("not superseded"));
         }
         vec![initial]
@@ -164,21 +167,22 @@
             actions.push(Action::Tick);
         }
         for n in (0..SCHEDULERS).filter(|n| state.request_counts[*n] < MAX_REQUESTS) {
-            actions.push(Action::Exchange(n));
-            actions.extend((state.delayed < MAX_DELAYED).then_some(Action::SendRequest(n)));
+            actions.push(Action::Renew(n));
+            actions
+                .extend((state.delayed_exchanges < MAX_DELAYED_EXCHANGES).then_some(Action::SendRequest(n)));
         }
         actions.extend((0..state.requests.len()).map(Action::DeliverRequest));
         actions.extend((0..state.grants.len()).map(Action::DeliverGrant));
-        if self.may_decide(state) {
-            actions.push(Action::Decide);
+        if self.can_advance(state) {
+            actions.push(Action::Advance);
         }
         let crashes: u64 = state.incarnations.iter().map(|incarnation| incarnation / INCARNATION_STEP).sum();
         if crashes < MAX_CRASHES {
-            // The schedulers are interchangeable, so that one suffices.
+            // The schedulers are interchangeable, so it is enough that one of them crashes.
             actions.push(Action::Crash(0));
         }
-        if state.elections < MAX_ELECTIONS {
-            actions.push(Action::Elect);
+        if state.leader_changes < MAX_LEADER_CHANGES {
+            actions.push(Action::ReplaceLeader);
         }
     }
 
@@ -186,15 +190,15 @@
         let mut state = last.clone();
         match act {
             Action::Tick => state.now += 1,
-            Action::Exchange(n) => {
+            Action::Renew(n) => {
                 let request = state.holders[n].next_request(state.now);
                 state.request_counts[n] += 1;
                 let now = version(state.version);
-                let grant = state.lease_table.grant(state.now, name(n), request, now, &self.step)?;
+                let grant = state.lease_table.grant(state.now, holder_name(n), request, now, &self.step)?;
                 state.holders[n].accept(state.now, grant);
             }
             Action::SendRequest(n) => {
-                state.delayed += 1;
+                state.delayed_exchanges += 1;
                 let request = state.holders[n].next_request(state.now);
                 state.request_counts[n] += 1;
                 state.requests.push((n, request));
@@ -202,24 +206,25 @@
             Action::DeliverRequest(at) => {
                 let (n, request) = state.requests.remove(at);
                 let now = state.version;
-                let grant = state.lease_table.grant(state.now, name(n), request, version(now), &self.step)?;
+                let grant =
+                    state.lease_table.grant(state.now, holder_name(n), request, version(now), &self.step)?;
                 state.grants.push((n, grant));
             }
             Action::DeliverGrant(at) => {
                 let (n, grant) = state.grants.remove(at);
                 state.holders[n].accept(state.now, grant);
             }
-            Action::Decide => {
+            Action::Advance => {
                 state.version += 1;
-                state.decided_at.push(state.now);
+                state.activated_at.push(state.now);
             }
             Action::Crash(n) => {
                 state.incarnations[n] += INCARNATION_STEP;
                 state.holders[n] = self.holder(state.incarnations[n]);
             }
-            Action::Elect => {
-                state.elections += 1;
-                let term_start = if self.fault == Fault::ForgetsGrants { 0 } else { state.now };
+            Action::ReplaceLeader => {
+                state.leader_changes += 1;
+                let term_start = if self.fault == Fault::EarlierGrantsForgotten { 0 } else { state.now };
                 state.lease_table = LeaseTable::new(self.config, term_start);
             }
         }
@@ -237,7 +242,7 @@
             Property::always(BOUNDED_OVERLAP, |model: &LeaseModel, state: &State| {
                 (0..SCHEDULERS).all(|n| match state.holders[n].state(state.now) {
                     LeaseState::Active(version, _) => {
-                        let next = state.decided_at.get(version.number as usize);
+                        let next = state.activated_at.get(version.number as usize);
                         next.is_none_or(|next| state.now - next < model.config.max_overlap())
                     }
                     _ => true,
@@ -249,8 +254,8 @@
                     _ => true,
                 })
             }),
-            Property::sometimes("version 3 is put in force", |_, state: &State| state.version == 3),
-            Property::sometimes("two versions are in force at the same time", |_, state: &State| {
+            Property::sometimes("version 3 is activated", |_, state: &State| state.version == 3),
+            Property::sometimes("two versions are in effect at the same time", |_, state: &State| {
                 let active_version = |n: usize| match state.holders[n].state(state.now) {
                     LeaseState::Active(version, _) => Some(version.number),
                     _ => None,
@@ -263,11 +268,11 @@
     }
 }
 
-const AT_MOST_TWO_VERSIONS: &str = "at most two neighbouring versions are in force";
-const BOUNDED_OVERLAP: &str = "no holder acts on a version for longer than the maximum overlap";
-const DEGRADED_RULES_RESPECTED: &str = "no holder acts on degraded rules that the active version forbids";
+const AT_MOST_TWO_VERSIONS: &str = "at most two consecutive versions are in effect";
+const BOUNDED_OVERLAP: &str = "no holder applies a version for longer than the maximum overlap";
+const DEGRADED_RULES_RESPECTED: &str = "no holder applies degraded rules that the active version forbids";
 
-/// More states than there are within the bounds.
+/// More than the number of states within the bounds.
 const MAX_STATES: usize = 8_000_000;
 
 fn search(fault: Fault, until: HasDiscoveries) -> impl Checker<LeaseModel> {
@@ -289,10 +294,10 @@
 }
 
 #[rstest]
-#[case::lease_honoured_too_long(Fault::LeaseTooLong, BOUNDED_OVERLAP)]
+#[case::lease_used_too_long(Fault::LeaseUsedTooLong, BOUNDED_OVERLAP)]
 #[case::step_before_all_have_acknowledged(Fault::NoWaiting, AT_MOST_TWO_VERSIONS)]
-#[case::degraded_rules_not_waited_for(Fault::IgnoresDegraded, DEGRADED_RULES_RESPECTED)]
-#[case::grants_of_the_earlier_leader_forgotten(Fault::ForgetsGrants, AT_MOST_TWO_VERSIONS)]
+#[case::degraded_rules_not_waited_for(Fault::DegradedRulesIgnored, DEGRADED_RULES_RESPECTED)]
+#[case::grants_of_the_earlier_leader_forgotten(Fault::EarlierGrantsForgotten, AT_MOST_TWO_VERSIONS)]
 fn each_injected_fault_is_found(#[case] fault: Fault, #[case] property: &'static str) {
     let checker = search(fault, HasDiscoveries::AnyOf([property].into()));
     assert!(checker.discovery(property).is_some(), "not found in {} states", checker.state_count());
--- a/crates/rollout/tests/lease_simulation.rs
+++ b/crates/rollout/tests/lease_simulation.rs
@@ -1,6 +1,7 @@
-//! Lease holders, leaders and a network that loses, duplicates and delays messages for longer than a lease and is cut for
-//! single holders, in virtual time. Rules that are in force at the same time never contradict each other, and no holder
-//! acts on an old version for longer than the bound. With any guard disabled that fails.
+//! Simulates lease holders, leaders and a faulty network in virtual time. The network loses and duplicates messages, delays
+//! them for longer than a lease, and disconnects single holders. Rules that are in effect at the same time must never
+//! contradict each other, and no holder may apply an old version for longer than the bound. Each injected fault of the
+//! protocol must lead to a violation.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -18,31 +19,30 @@
 const MAX_CLOCK_DRIFT: f64 = 0.02;
 const RENEWAL_INTERVAL: Nanos = 300 * MS;
 const ADVANCE_INTERVAL: Nanos = 50 * MS;
-/// Virtual time of one run.
+/// Virtual duration of one run.
 const RUN_LENGTH: Nanos = 60_000 * MS;
 
-/// What is disabled, so that the test can be seen to fail.
+/// The fault that is injected into the protocol, to show that the checks find it.
 #[derive(Clone, Copy, PartialEq, Debug)]
-enum Guard {
-    /// Nothing.
-    AllOn,
-    /// Holders honour their leases for twice as long.
-    LeaseTooLong,
-    /// Holders count a lease from its arrival instead of from the request.
-    FromArrival,
-    /// The next step is put in force without waiting for any holder.
+enum Fault {
+    None,
+    /// Holders use their leases for twice as long.
+    LeaseUsedTooLong,
+    /// The leases of holders start at the arrival of the grant instead of at the request.
+    LeaseStartsAtArrival,
+    /// The next step is activated without waiting for any holder.
     NoWaiting,
-    /// A leader that has been replaced goes on granting what it knows.
-    Unconfirmed,
-    /// Holders without a lease go on acting on the full rules.
+    /// A former leader continues to grant leases on the last step that it knows.
+    UnconfirmedGrants,
+    /// Holders continue to apply the full rules after their leases have expired.
     NeverDegraded,
-    /// A restarted holder has the incarnation of the one before.
-    SameIncarnation,
+    /// A restarted holder has the same incarnation as before.
+    ReusedIncarnation,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord, Debug)]
 enum Event {
-    /// A holder asks for a lease.
+    /// A holder requests a lease.
     Renew(usize),
     /// A holder's request reaches a leader.
     RequestArrives {
@@ -50,15 +50,15 @@
         leader: usize,
         request: LeaseRequest,
     },
-    /// A grant of this number reaches a holder.
+    /// The grant with this number reaches a holder.
     GrantArrives {
         holder: usize,
         grant: u64,
     },
     Propose,
     Advance,
-    /// The leader is killed or disconnected; another leads from now on.
-    Elect,
+    /// The leader is killed or disconnected, and another one takes over.
+    ReplaceLeader,
     Restart(usize),
     SetDisconnected {
         holder: usize,
@@ -69,7 +69,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledEvent {
     at: Nanos,
-    /// Events at the same time happen in the order in which they were scheduled.
+    /// Events at the same time are handled in the order in which they were scheduled.
     serial: u64,
     event: Event,
 }
@@ -94,11 +94,11 @@
     }
 }
 
-/// A present or former leader, with the step that it knows as the active one.
+/// The current leader or a former one, with the last active step that it knows.
 struct Leader {
     lease_table: LeaseTable,
     clock: Clock,
-    known: VersionedStep,
+    known_step: VersionedStep,
 }
 
 struct Holder {
@@ -108,9 +108,9 @@
 }
 
 struct Simulation {
-    guard: Guard,
+    fault: Fault,
     config: LeaseConfig,
-    /// The configuration of holders, which differs from that of leaders with a guard disabled.
+    /// The configuration of holders. With an injected fault it differs from that of leaders.
     holder_config: LeaseConfig,
     random: fastrand::Rng,
     now: Nanos,
@@ -118,12 +118,12 @@
     serial: u64,
     grants: BTreeMap<u64, LeaseGrant>,
     state: RolloutState,
-    /// All leaders so far; the last one leads.
+    /// All leaders so far; the last one is the current one.
     leaders: Vec<Leader>,
     holders: Vec<Holder>,
-    /// When each version was decided.
-    decided_at: BTreeMap<Version, Nanos>,
-    /// The longest time for which a holder acted on a version after the next had been decided.
+    /// The time at which each version was activated.
+    activated_at: BTreeMap<Version, Nanos>,
+    /// The longest time for which a holder applied a version after the next one had been activated.
     longest_overlap: Nanos,
     advances: u32,
     violation: Option<String>,
@@ -156,11 +156,11 @@
 }
 
 impl Simulation {
-    fn new(seed: u64, guard: Guard) -> Simulation {
+    fn new(seed: u64, fault: Fault) -> Simulation {
         let mut random = fastrand::Rng::with_seed(seed);
         let config = lease_config(1_000 * MS);
-        let holder_config = match guard {
-            Guard::LeaseTooLong => lease_config(2_000 * MS),
+        let holder_config = match fault {
+            Fault::LeaseUsedTooLong => lease_config(2_000 * MS),
             _ => config,
         };
         let state = RolloutState::new(RulesDocument { schedulers: 3, ..random_document(&mut random) });
@@ -170,12 +170,12 @@
         let first_leader = Leader {
             lease_table: LeaseTable::new(config, first_clock.at(0)),
             clock: first_clock,
-            known: state.active().clone(),
+            known_step: state.active().clone(),
         };
         let new_holder =
             |clock| Holder { lease: LeaseHolder::new(holder_config, 0), clock, disconnected: false };
         let mut simulation = Simulation {
-            guard,
+            fault,
             config,
             holder_config,
             random,
@@ -183,7 +183,7 @@
             queue: BinaryHeap::new(),
             serial: 0,
             grants: BTreeMap::new(),
-            decided_at: BTreeMap::from([(state.active().version, 0)]),
+            activated_at: BTreeMap::from([(state.active().version, 0)]),
             leaders: vec![first_leader],
             state,
             holders: clocks.map(new_holder).collect(),
@@ -201,7 +201,7 @@
         }
         self.schedule(3_000 * MS, Event::Propose);
         self.schedule(ADVANCE_INTERVAL, Event::Advance);
-        self.schedule(8_000 * MS, Event::Elect);
+        self.schedule(8_000 * MS, Event::ReplaceLeader);
         self.schedule(9_000 * MS, Event::Restart(0));
         for holder in 0..HOLDERS {
             let after = self.random.u64(1_000..20_000) * MS;
@@ -215,8 +215,8 @@
         self.queue.push(Reverse(ScheduledEvent { at, serial: self.serial, event }));
     }
 
-    /// Sends a message from or to a holder: it is lost or duplicated at times, and mostly takes little time, but at times
-    /// longer than a lease.
+    /// Sends a message from or to a holder. Some messages are lost or duplicated. Most arrive soon, but some take longer
+    /// than a lease.
     fn send(&mut self, disconnected: bool, event: impl Fn() -> Event) {
         let copies = if disconnected || self.random.u32(0..20) == 0 {
             0
@@ -237,7 +237,7 @@
             if at > until || self.violation.is_some() {
                 break;
             }
-            // Holders act until something happens, so the check comes right before it too.
+            // Holders apply their rules until the event happens, so they are checked before the event too.
             self.now = at;
             self.check();
             self.handle(event);
@@ -256,7 +256,7 @@
                 self.advance();
                 self.schedule(ADVANCE_INTERVAL, Event::Advance);
             }
-            Event::Elect => self.elect(),
+            Event::ReplaceLeader => self.replace_leader(),
             Event::Restart(holder) => self.restart(holder),
             Event::SetDisconnected { holder, disconnected } => {
                 self.holders[holder].disconnected = disconnected;
@@ -278,20 +278,21 @@
     }
 
     fn grant(&mut self, holder: usize, leader: usize, request: LeaseRequest) {
-        let confirmed = leader + 1 == self.leaders.len();
-        if !confirmed && self.guard != Guard::Unconfirmed {
+        let is_current_leader = leader + 1 == self.leaders.len();
+        if !is_current_leader && self.fault != Fault::UnconfirmedGrants {
             return;
         }
         let name = format!("s{holder}");
-        if confirmed {
+        if is_current_leader {
             if self.state.join(&name).is_err() {
                 return;
             }
-            self.leaders[leader].known = self.state.active().clone();
+            self.leaders[leader].known_step = self.state.active().clone();
         }
-        let Leader { lease_table, clock, known } = &mut self.leaders[leader];
-        let grant = lease_table.grant(clock.at(self.now), &name, request, known.version, &known.step);
-        // None for a request that was delayed until a later incarnation had asked.
+        let Leader { lease_table, clock, known_step } = &mut self.leaders[leader];
+        let grant =
+            lease_table.grant(clock.at(self.now), &name, request, known_step.version, &known_step.step);
+        // The table grants nothing if the request was delayed until after one of a later incarnation.
         let Some(grant) = grant else { return };
         let number = self.serial;
         self.grants.insert(number, grant);
@@ -303,8 +304,8 @@
         let Some(grant) = self.grants.get(&grant).cloned() else { return };
         let Holder { lease, clock, .. } = &mut self.holders[holder];
         let now = clock.at(self.now);
-        if self.guard == Guard::FromArrival {
-            // As if it had been requested just now.
+        if self.fault == Fault::LeaseStartsAtArrival {
+            // Treats the grant as a response to a request that is sent now.
             let LeaseRequest { incarnation, sequence, .. } = lease.next_request(now);
             lease.accept(now, LeaseGrant { incarnation, sequence, ..grant });
         } else {
@@ -320,18 +321,18 @@
         self.schedule(after, Event::Propose);
     }
 
-    fn elect(&mut self) {
+    fn replace_leader(&mut self) {
         let rate = Clock::random_rate(&mut self.random);
         let clock = Clock { offset: self.random.u64(1..100_000 * MS), rate };
         let lease_table = LeaseTable::new(self.config, clock.at(self.now));
-        self.leaders.push(Leader { lease_table, clock, known: self.state.active().clone() });
+        self.leaders.push(Leader { lease_table, clock, known_step: self.state.active().clone() });
         let after = self.random.u64(500..12_000) * MS;
-        self.schedule(after, Event::Elect);
+        self.schedule(after, Event::ReplaceLeader);
     }
 
-    /// Restarts a holder, which stays a member under its name and has forgotten all else.
+    /// Restarts a holder. It stays a member under its name and loses all other state.
     fn restart(&mut self, holder: usize) {
-        let incarnation = if self.guard == Guard::SameIncarnation { 0 } else { self.serial };
+        let incarnation = if self.fault == Fault::ReusedIncarnation { 0 } else { self.serial };
         self.holders[holder].lease = LeaseHolder::new(self.holder_config, incarnation);
         let next_holder = self.random.usize(0..HOLDERS);
         let after = self.random.u64(500..20_000) * MS;
@@ -342,26 +343,27 @@
         let term = self.leaders.len() - 1;
         let Leader { lease_table, clock, .. } = &self.leaders[term];
         let version = self.state.active().version;
-        let names: Vec<String> = self.state.members().map(|(name, _)| name.to_owned()).collect();
+        let members: Vec<String> = self.state.members().map(|(name, _)| name.to_owned()).collect();
         let now = clock.at(self.now);
-        let settled = names.iter().all(|name| lease_table.prior_lease(now, name, version).is_over());
-        let acknowledged: BTreeMap<String, Version> = match self.guard {
-            Guard::NoWaiting => names.iter().map(|name| (name.clone(), version)).collect(),
-            _ => names
+        let prior_leases_over =
+            members.iter().all(|name| lease_table.prior_lease(now, name, version).is_over());
+        let acknowledged: BTreeMap<String, Version> = match self.fault {
+            Fault::NoWaiting => members.iter().map(|name| (name.clone(), version)).collect(),
+            _ => members
                 .iter()
                 .filter_map(|name| Some((name.clone(), lease_table.acknowledged(name)?)))
                 .collect(),
         };
-        if !settled && self.guard != Guard::NoWaiting {
+        if !prior_leases_over && self.fault != Fault::NoWaiting {
             return;
         }
         if let Some(version) = self.state.advance(term as u64, &acknowledged) {
             self.advances += 1;
-            self.decided_at.insert(version, self.now);
+            self.activated_at.insert(version, self.now);
         }
     }
 
-    /// Checks everything that the holders may do at this moment.
+    /// Checks the rules that the holders may apply at this time, and records the longest overlap.
     fn check(&mut self) {
         let states: Vec<LeaseState<'_>> =
             self.holders.iter().map(|holder| holder.lease.state(holder.clock.at(self.now))).collect();
@@ -377,16 +379,19 @@
         }
     }
 
-    /// For how long the next version has been decided while a holder acts on this one.
+    /// Returns how long ago the version after the one that a holder applies was activated.
     fn overlap(&self, state: &LeaseState<'_>) -> Nanos {
         let LeaseState::Active(version, _) = state else { return 0 };
-        let mut later = self.decided_at.range((Bound::Excluded(*version), Bound::Unbounded));
-        later.next().map_or(0, |(_, decided_at)| self.now - decided_at)
+        let mut later = self.activated_at.range((Bound::Excluded(*version), Bound::Unbounded));
+        later.next().map_or(0, |(_, activated_at)| self.now - activated_at)
     }
 
     fn exceeded_overlap(&self, overlaps: &[Nanos]) -> Option<String> {
         let exceeded = overlaps.iter().position(|overlap| *overlap > self.config.max_overlap())?;
-        Some(format!("s{exceeded} acts on its version {} ms after the next", overlaps[exceeded] / MS))
+        Some(format!(
+            "s{exceeded} applies its version {} ms after the next was activated",
+            overlaps[exceeded] / MS
+        ))
     }
 
     fn contradicting_states(&self, states: &[LeaseState<'_>]) -> Option<String> {
@@ -397,8 +402,8 @@
                         step.contradiction_with(active)
                     }
                     (LeaseState::Lapsed(version, step), LeaseState::Active(active_version, active)) => {
-                        // Up to the active version, what it may do degraded is a part of what it may do in full.
-                        if self.guard == Guard::NeverDegraded || version >= active_version {
+                        // From the active version on, the degraded rules of a step allow no more than its full rules.
+                        if self.fault == Fault::NeverDegraded || version >= active_version {
                             step.contradiction_with(active)
                         } else {
                             step.degraded_contradiction_with(active)
@@ -415,21 +420,21 @@
     }
 
     fn exceeded_quota(&self, states: &[LeaseState<'_>]) -> Option<String> {
-        let used = |state: &LeaseState<'_>| match state {
+        let usable_quota = |state: &LeaseState<'_>| match state {
             LeaseState::Active(_, step) => step.quotas.get(TENANT).map_or(0.0, |_| step.member_quota(TENANT)),
             LeaseState::Lapsed(_, step) => step.degraded_member_quota(TENANT),
             LeaseState::NeverGranted => 0.0,
         };
-        let sum: f64 = states.iter().map(used).sum();
-        let active_quotas = states.iter().filter_map(|state| match state {
+        let sum: f64 = states.iter().map(usable_quota).sum();
+        let applied_quotas = states.iter().filter_map(|state| match state {
             LeaseState::Active(_, step) => step.quotas.get(TENANT).copied(),
             _ => None,
         });
-        // A quota that has been raised counts as raised once that is decided.
-        let decided_quota = self.state.active().step.quotas.get(TENANT).copied().unwrap_or(0.0);
-        let quota = active_quotas.fold(decided_quota, f64::max);
+        // A raised quota counts as soon as its step is activated.
+        let active_quota = self.state.active().step.quotas.get(TENANT).copied().unwrap_or(0.0);
+        let quota = applied_quotas.fold(active_quota, f64::max);
         let exceeded = quota > 0.0 && sum > quota * (1.0 + 1e-6);
-        exceeded.then(|| format!("all together take {sum} of {quota}"))
+        exceeded.then(|| format!("all holders together may use {sum} of {quota}"))
     }
 }
 
@@ -437,33 +442,33 @@
 fn concurrent_rules_never_contradict_each_other_under_a_thousand_seeds_of_faults() {
     let (mut longest_overlap, mut advances) = (0, 0);
     for seed in 0..1_000 {
-        let simulation = Simulation::new(seed, Guard::AllOn).run(RUN_LENGTH);
+        let simulation = Simulation::new(seed, Fault::None).run(RUN_LENGTH);
         assert_eq!(simulation.violation, None, "seed {seed}");
         longest_overlap = simulation.longest_overlap.max(longest_overlap);
         advances += simulation.advances;
     }
-    // Overlaps come near the bound, so it is not needlessly large, and changes do get through.
+    // Overlaps come close to the bound, so it is not larger than necessary. Steps are activated despite the faults.
     let max_overlap = lease_config(1_000 * MS).max_overlap();
     assert!(
         longest_overlap <= max_overlap && longest_overlap > max_overlap / 2,
         "longest overlap {} ms",
         longest_overlap / MS
     );
-    assert!(advances > 3_000, "{advances} steps in all");
+    assert!(advances > 3_000, "only {advances} steps were activated");
 }
 
 #[test]
-fn a_violation_is_found_with_each_guard_disabled() {
-    for guard in [
-        Guard::LeaseTooLong,
-        Guard::FromArrival,
-        Guard::NoWaiting,
-        Guard::Unconfirmed,
-        Guard::NeverDegraded,
-        Guard::SameIncarnation,
+fn each_injected_fault_leads_to_a_violation() {
+    for fault in [
+        Fault::LeaseUsedTooLong,
+        Fault::LeaseStartsAtArrival,
+        Fault::NoWaiting,
+        Fault::UnconfirmedGrants,
+        Fault::NeverDegraded,
+        Fault::ReusedIncarnation,
     ] {
-        let found = (0..2_000).any(|seed| Simulation::new(seed, guard).run(RUN_LENGTH).violation.is_some());
-        assert!(found, "no violation with {guard:?}");
+        let found = (0..2_000).any(|seed| Simulation::new(seed, fault).run(RUN_LENGTH).violation.is_some());
+        assert!(found, "no violation with {fault:?}");
     }
 }
 
@@ -479,7 +484,7 @@
     lease_table.remove_departed("a");
     assert!(lease_table.is_superseded("a", &late_request));
     assert!(lease_table.grant(2, "a", late_request, version, &step).is_none());
-    // The next process of its name is another holder.
+    // The next process with the same name is another holder.
     let request = second.next_request(3);
     assert!(lease_table.grant(3, "a", request, version, &step).is_some());
 }
--- a/crates/rollout/tests/rollout_plan.rs
+++ b/crates/rollout/tests/rollout_plan.rs
@@ -1,5 +1,6 @@
-//! Plans between any two documents: no step contradicts the one before it, by its full rules or by the degraded rules of
-//! a disconnected member; and whatever conflicts when it is evaluated independently is reported as a contradiction.
+//! Property tests of plans between random documents. No step contradicts the one before it, neither by its full rules nor
+//! by the degraded rules of a disconnected member. Every conflict that an independent evaluation of two steps finds is
+//! also reported as a contradiction.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,24 +34,30 @@
         workers in prop::collection::btree_map(worker(), worker_state(), 0..5),
         quota_share in 0.0..=1.0,
         allowed_workers in prop::collection::btree_set(worker(), 0..4),
-        (others, unlimited) in prop::bool::ANY.prop_flat_map(|a| prop::bool::ANY.prop_map(move |b| (a, b))),
+        (allows_unlisted_workers, allows_unlimited_tenants) in
+            prop::bool::ANY.prop_flat_map(|a| prop::bool::ANY.prop_map(move |b| (a, b))),
         list_version in 0u64..3,
     ) -> RulesDocument {
         let allowed_workers = allowed_workers.into_iter().filter(|w| !workers.contains_key(w)).collect();
-        let degraded = DegradedRules { quota_share, allowed_workers, allows_unlisted_workers: others, allows_unlimited_tenants: unlimited };
+        let degraded = DegradedRules {
+            quota_share,
+            allowed_workers,
+            allows_unlisted_workers,
+            allows_unlimited_tenants,
+        };
         RulesDocument { schedulers, quotas, workers, degraded, list_version, ..RulesDocument::default() }
     }
 }
 
-/// What a scheduler may do by a step, evaluated from the step itself and not from the tested relation.
+/// What a step allows a scheduler to do, evaluated without the contradiction check under test.
 struct Permissions {
     quotas: BTreeMap<String, f64>,
-    /// Worker and tenant of new work that it may send.
-    sends: BTreeSet<(String, String)>,
+    /// The pairs of worker and tenant for which the scheduler may send new work.
+    allowed_sends: BTreeSet<(String, String)>,
 }
 
 fn permissions(step: &RulesStep) -> Permissions {
-    let sends = |w: &&'static str| {
+    let allowed_sends = |w: &&'static str| {
         TENANTS
             .iter()
             .filter(|t| step.allows(w, t))
@@ -59,43 +66,47 @@
     };
     Permissions {
         quotas: step.quotas.keys().map(|t| (t.clone(), step.member_quota(t))).collect(),
-        sends: WORKERS.iter().flat_map(sends).collect(),
+        allowed_sends: WORKERS.iter().flat_map(allowed_sends).collect(),
     }
 }
 
-/// The workers that are exclusive to a tenant, with that tenant.
+/// Returns the workers that are exclusive to a tenant, each with the tenant.
 fn exclusive_workers(step: &RulesStep) -> BTreeMap<String, String> {
-    let only = |w: &&'static str| {
+    let exclusive_tenant = |w: &&'static str| {
         let tenant = TENANTS.iter().find(|t| {
             step.allows(w, t) && WORKERS.iter().all(|o| o == w || !step.allows(o, t) || pinned(step, o, t))
         });
         tenant.filter(|t| pinned(step, w, t)).map(|t| ((*w).to_owned(), (*t).to_owned()))
     };
-    WORKERS.iter().filter_map(only).collect()
+    WORKERS.iter().filter_map(exclusive_tenant).collect()
 }
 
 fn pinned(step: &RulesStep, worker: &str, tenant: &str) -> bool {
     step.worker_access.get(worker) == Some(&nickelflow_rollout::WorkerAccess::Exclusive(tenant.to_owned()))
 }
 
-/// What schedulers that act on two steps at the same time do that one of the steps forbids.
+/// Describes something that schedulers on two steps may do at the same time although one of the steps forbids it.
 fn conflict(a: &RulesStep, b: &RulesStep) -> Option<String> {
-    let (x, y) = (permissions(a), permissions(b));
-    for (keeper, other) in [(a, &y), (b, &x)] {
-        for (worker, tenant) in exclusive_workers(keeper) {
-            if let Some(foreign) = other.sends.iter().find(|(w, t)| *w == worker && *t != tenant) {
-                return Some(format!("{worker} is exclusive to {tenant} and gets work of {}", foreign.1));
+    let (permissions_a, permissions_b) = (permissions(a), permissions(b));
+    for (exclusive_step, other) in [(a, &permissions_b), (b, &permissions_a)] {
+        for (worker, tenant) in exclusive_workers(exclusive_step) {
+            if let Some(conflicting) = other.allowed_sends.iter().find(|(w, t)| *w == worker && *t != tenant)
+            {
+                return Some(format!("{worker} is exclusive to {tenant} and gets work of {}", conflicting.1));
             }
         }
     }
-    // Every number of members on either step, within the limits of both.
+    // Checks all combinations of the numbers of members on each step, within the limits of both.
     for on_a in 0..=a.max_members {
         for on_b in 0..=b.max_members.min(a.max_members.max(b.max_members) - on_a) {
-            for tenant in x.quotas.keys().filter(|t| y.quotas.contains_key(*t)) {
-                let sum = f64::from(on_a) * x.quotas[tenant] + f64::from(on_b) * y.quotas[tenant];
-                let whole = a.quotas[tenant].max(b.quotas[tenant]);
-                if sum > whole * (1.0 + 1e-6) {
-                    return Some(format!("{on_a} and {on_b} schedulers take {sum} of {tenant}'s {whole}"));
+            for tenant in permissions_a.quotas.keys().filter(|t| permissions_b.quotas.contains_key(*t)) {
+                let sum = f64::from(on_a) * permissions_a.quotas[tenant]
+                    + f64::from(on_b) * permissions_b.quotas[tenant];
+                let quota = a.quotas[tenant].max(b.quotas[tenant]);
+                if sum > quota * (1.0 + 1e-6) {
+                    return Some(format!(
+                        "{on_a} and {on_b} schedulers use {sum} of {tenant}'s quota of {quota}"
+                    ));
                 }
             }
         }
@@ -103,8 +114,8 @@
     None
 }
 
-/// The worker of a key by rendezvous hashing.
-fn place(inputs: &nickelflow_rollout::PlacementInputs, key: u64) -> Option<&'static str> {
+/// Returns the worker of a key by rendezvous hashing.
+fn rendezvous_worker(inputs: &nickelflow_rollout::PlacementInputs, key: u64) -> Option<&'static str> {
     let hash = |w: &str| {
         let mut x = key ^ inputs.list_version.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         w.bytes().for_each(|b| x = (x ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3));
@@ -113,11 +124,13 @@
     WORKERS.into_iter().filter(|w| !inputs.excluded_workers.contains(*w)).max_by_key(|w| hash(w))
 }
 
-/// Where a step sends a key, if it does.
-fn worker_of(step: &RulesStep, key: u64) -> Option<&'static str> {
+/// Returns the worker to which a step sends a key, if it sends the key.
+fn worker_for_key(step: &RulesStep, key: u64) -> Option<&'static str> {
     match &step.key_placement {
-        KeyPlacement::Single(inputs) => place(inputs, key),
-        KeyPlacement::Transition(old, new) => place(old, key).filter(|w| place(new, key) == Some(w)),
+        KeyPlacement::Single(inputs) => rendezvous_worker(inputs, key),
+        KeyPlacement::Transition(old, new) => {
+            rendezvous_worker(old, key).filter(|w| rendezvous_worker(new, key) == Some(w))
+        }
     }
 }
 
@@ -133,7 +146,7 @@
             prop_assert_eq!(last.contradiction_with(step), None, "{:#?} and {:#?}", last, step);
             prop_assert_eq!(conflict(last, step), None);
             for key in 0..40 {
-                let (a, b) = (worker_of(last, key), worker_of(step, key));
+                let (a, b) = (worker_for_key(last, key), worker_for_key(step, key));
                 prop_assert!(a.is_none() || b.is_none() || a == b, "key {} goes to {:?} and {:?}", key, a, b);
             }
             last = step;
@@ -146,25 +159,28 @@
     fn degraded_rules_during_a_rollout_allow_nothing_that_a_later_step_forbids(from in document(), to in document()) {
         let first = RulesStep::from_document(&from);
         let steps: Vec<RulesStep> = std::iter::once(first.clone()).chain(plan_steps(&first, &to)).collect();
-        // The degraded rules shrink after the first step, which all members must have replaced before the third.
+        // The degraded rules are restricted in the second step. All members must have replaced the first step before the
+        // third is activated.
         for pair in steps.windows(2).skip(1) {
             prop_assert_eq!(pair[0].degraded_contradiction_with(&pair[1]), None, "{:#?} and {:#?}", &pair[0], &pair[1]);
         }
         prop_assert_eq!(first.degraded_contradiction_with(&steps[steps.len().min(2) - 1]), None);
-        for (now, later) in steps.iter().enumerate().flat_map(|(n, now)| steps[n + 1..].iter().map(move |l| (now, l))) {
-            if now.degraded_contradiction_with(later).is_none() {
+        for (earlier, later) in
+            steps.iter().enumerate().flat_map(|(n, earlier)| steps[n + 1..].iter().map(move |l| (earlier, l)))
+        {
+            if earlier.degraded_contradiction_with(later).is_none() {
                 for worker in WORKERS {
                     for tenant in TENANTS {
-                        let may = now.degraded_allows(worker, tenant);
+                        let may = earlier.degraded_allows(worker, tenant);
                         prop_assert!(!may || !later.worker_access.contains_key(worker), "{} to {}", tenant, worker);
                     }
                 }
                 for tenant in later.quotas.keys() {
-                    prop_assert!(now.degraded_member_quota(tenant) <= later.member_quota(tenant) * (1.0 + 1e-6));
+                    prop_assert!(earlier.degraded_member_quota(tenant) <= later.member_quota(tenant) * (1.0 + 1e-6));
                 }
                 for key in 0..40 {
-                    let degraded = worker_of(now, key).filter(|w| now.degraded_allows(w, ""));
-                    let later_worker = worker_of(later, key);
+                    let degraded = worker_for_key(earlier, key).filter(|w| earlier.degraded_allows(w, ""));
+                    let later_worker = worker_for_key(later, key);
                     prop_assert!(degraded.is_none() || later_worker.is_none() || degraded == later_worker);
                 }
             }
@@ -173,7 +189,7 @@
 
     #[test]
     fn a_written_document_reads_back_to_the_same(mut document in document()) {
-        // A document that parses: the tenant of a pinned worker has a quota.
+        // In a valid document the tenant of each pinned worker has a quota.
         let quotas = document.quotas.clone();
         document.workers.retain(|_, s| !matches!(s, WorkerState::Pinned(t) if !quotas.contains_key(t)));
         prop_assert_eq!(RulesDocument::parse(&document.to_toml()), Ok(document));
@@ -182,9 +198,9 @@
     #[test]
     fn every_conflict_is_reported_as_a_contradiction(a in document(), b in document()) {
         let (a, b) = (RulesStep::from_document(&a), RulesStep::from_document(&b));
-        if let Some(why) = conflict(&a, &b) {
-            prop_assert!(a.contradiction_with(&b).is_some(), "{}", why);
-            prop_assert!(b.contradiction_with(&a).is_some(), "{}", why);
+        if let Some(description) = conflict(&a, &b) {
+            prop_assert!(a.contradiction_with(&b).is_some(), "{}", description);
+            prop_assert!(b.contradiction_with(&a).is_some(), "{}", description);
         }
         prop_assert_eq!(a.contradiction_with(&a), None);
     }
--- a/crates/rollout/tests/stored_bytes.rs
+++ b/crates/rollout/tests/stored_bytes.rs
@@ -1,6 +1,7 @@
-//! The postcard bytes of all types that voters store or send, as recorded at commit 04e006e in
-//! `data/stored_bytes.txt`: `name hex` lines. The order, number and types of fields and variants must not change, or a
-//! later program reads old logs and other programs' messages wrongly; names are free.
+//! Tests that the postcard encoding of all types that voters store or send does not change. `data/stored_bytes.txt` contains
+//! the bytes as recorded at commit 04e006e, in lines of the form `name hex`. The order, number and types of fields and
+//! variants must not change, because a later version would decode old logs and the messages of other versions wrongly.
+//! Names may change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
@@ -26,18 +27,18 @@
         self.names.push(name.to_owned());
         let encoded = hex(&postcard::to_stdvec(value).expect("encoded"));
         let Some(recorded) = recorded(name) else {
-            return self.errors.push(format!("not recorded:\n{name} {encoded}"));
+            return self.errors.push(format!("{name} is not recorded; it is encoded as:\n{name} {encoded}"));
         };
         if encoded != recorded {
-            self.errors.push(format!("{name} is encoded as {encoded}, and was as {recorded}"));
+            self.errors.push(format!("{name} is encoded as {encoded}, recorded as {recorded}"));
         }
         match postcard::from_bytes::<T>(&bytes(recorded)) {
             Ok(decoded) if decoded != *value => {
                 self.errors.push(format!("{name} is decoded to {decoded:?}, not {value:?}"));
             }
             Ok(decoded) => {
-                let again = hex(&postcard::to_stdvec(&decoded).expect("encoded"));
-                assert_eq!(again, encoded, "{name} is encoded differently after it was decoded");
+                let reencoded = hex(&postcard::to_stdvec(&decoded).expect("encoded"));
+                assert_eq!(reencoded, encoded, "{name} is encoded differently after it was decoded");
             }
             Err(e) => self.errors.push(format!("{name} cannot be decoded: {e}")),
         }
@@ -46,7 +47,10 @@
     fn finish(self) {
         assert!(self.errors.is_empty(), "{}", self.errors.join("\n"));
         let recorded: Vec<&str> = RECORDED.lines().filter_map(|line| line.split(' ').next()).collect();
-        assert_eq!(self.names, recorded, "each recorded value is checked, in the order of the file");
+        assert_eq!(
+            self.names, recorded,
+            "the checked values must be the recorded ones, in the order of the file"
+        );
     }
 }
 
@@ -63,7 +67,8 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-// All values are made here. No two fields of one type have the same value, so that any two that are swapped show.
+// The functions below create all values. No two fields of the same type have the same value, so that swapped fields are
+// detected.
 
 fn names(names: &[&str]) -> BTreeSet<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
@@ -140,7 +145,7 @@
     }
 }
 
-/// A state with two stored steps, pending steps, two proposals and two members of which one lags behind.
+/// Creates a state with two stored steps, pending steps, two proposals, and two members of which one lags behind.
 fn rollout_state() -> RolloutState {
     let mut state = RolloutState::new(document());
     state.join("s1").expect("room for a member");
--- a/crates/rollout/tests/text_format.rs
+++ b/crates/rollout/tests/text_format.rs
@@ -1,4 +1,5 @@
-//! The text format of rules documents, compared with recorded files: neither keys nor texts may change unnoticed.
+//! Tests that compare the text format and the error messages of rules documents with recorded files, so that no key and no
+//! message changes unnoticed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -9,8 +10,8 @@
 const RULES: &str = include_str!("data/rules.toml");
 const WRITTEN: &str = include_str!("data/rules.written.toml");
 
-/// A document in which no field has its default value and each state of a worker occurs.
-fn every_field() -> RulesDocument {
+/// Creates a document in which no field has its default value and each state of a worker occurs.
+fn document_with_every_field() -> RulesDocument {
     RulesDocument {
         schedulers: 3,
         max_attempts: 5,
@@ -32,31 +33,35 @@
     }
 }
 
-/// Compares a text with the recorded one, and writes it to a file for inspection.
-fn assert_recorded(name: &str, recorded: &str, actual: &str) {
+/// Compares a text with the recorded one, and writes the text to a file for inspection.
+fn assert_matches_recorded(name: &str, recorded: &str, actual: &str) {
     let written = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&written, actual).expect("written");
-    assert!(recorded == actual, "{name} differs; now, in {}:\n{actual}", written.display());
+    assert!(
+        recorded == actual,
+        "{name} differs from the recorded text; the actual text, also in {}:\n{actual}",
+        written.display()
+    );
 }
 
 #[test]
 fn every_key_of_a_rules_document_is_read() {
-    assert_eq!(RulesDocument::parse(RULES), Ok(every_field()));
+    assert_eq!(RulesDocument::parse(RULES), Ok(document_with_every_field()));
 }
 
 #[test]
 fn a_written_document_equals_the_recorded_file() {
-    assert_recorded("rules.written.toml", WRITTEN, &every_field().to_toml());
+    assert_matches_recorded("rules.written.toml", WRITTEN, &document_with_every_field().to_toml());
 }
 
 #[test]
 fn the_recorded_file_reads_back_to_the_same_document() {
-    assert_eq!(RulesDocument::parse(WRITTEN), Ok(every_field()));
+    assert_eq!(RulesDocument::parse(WRITTEN), Ok(document_with_every_field()));
 }
 
 #[rstest]
 #[case::values("broken.txt", include_str!("data/broken.toml"), include_str!("data/broken.txt"))]
-#[case::syntax("no_toml.txt", include_str!("data/no_toml.toml"), include_str!("data/no_toml.txt"))]
+#[case::syntax("syntax_error.txt", include_str!("data/syntax_error.toml"), include_str!("data/syntax_error.txt"))]
 fn errors_of_a_broken_document_equal_the_recorded_texts(
     #[case] name: &str,
     #[case] broken: &str,
@@ -65,5 +70,5 @@
     let invalid = RulesDocument::parse(broken).expect_err("a broken document");
     let texts: String = invalid.errors.iter().map(|error| format!("{error}\n")).collect();
     assert_eq!(format!("{invalid}\n"), texts);
-    assert_recorded(name, recorded, &texts);
+    assert_matches_recorded(name, recorded, &texts);
 }
