--- a/crates/rollout/src/lease/config.rs
+++ b/crates/rollout/src/lease/config.rs
@@ -7,7 +7,7 @@
 /// Maximum clock drift of a configuration; far more than the drift of any working clock.
 const MAX_CLOCK_DRIFT: f64 = 0.1;
 
-/// The timing of leases. All schedulers must have the same.
+/// The timing of leases. All schedulers must use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseConfig {
     /// The duration of a lease from the time of its holder's request.
@@ -37,8 +37,8 @@
         (self.duration as f64 / (1.0 - self.max_clock_drift)).ceil() as Nanos
     }
 
-    /// Returns the time after a grant, by the clock of the granting leader, after which the lease has
-    /// certainly expired.
+    /// Returns how long after its grant a lease has certainly expired, by the clock of the leader that granted
+    /// it.
     pub fn safe_expiry(&self) -> Nanos {
         (self.max_overlap() as f64 * (1.0 + self.max_clock_drift)).ceil() as Nanos
     }
--- a/crates/rollout/src/lease/table.rs
+++ b/crates/rollout/src/lease/table.rs
@@ -69,7 +69,7 @@
     granted_version: Version,
     /// The time of the last grant.
     last_granted_at: Nanos,
-    /// The time of the last grant of a version before the latest.
+    /// The time of the last grant of a version before `granted_version`.
     prior_granted_at: Nanos,
 }
 
@@ -127,9 +127,8 @@
         LeaseTable { config, term_start: now, holders: BTreeMap::new(), departed_holders: VecDeque::new() }
     }
 
-    /// Grants a lease on a version. Returns `None` for a process that [is
-    /// superseded](LeaseTable::is_superseded), because the process and its successor together would use two
-    /// shares of each quota.
+    /// Grants a lease on a version. Returns `None` for a [superseded](LeaseTable::is_superseded) process,
+    /// because the process and its successor together would use two shares of each quota.
     ///
     /// Must be called only after a quorum has confirmed, after the request arrived, that this leader still
     /// leads and that `version` is the active one. Otherwise a lease on an old version could outlast
--- a/crates/rollout/src/rollout_plan.rs
+++ b/crates/rollout/src/rollout_plan.rs
@@ -83,8 +83,8 @@
 fn enter_transition(step: &mut RulesStep, target: &RulesStep) {
     step.key_placement = transition(&step.key_placement, &target.key_placement);
     step.worker_access = reserve_exclusive_workers(step, target);
-    // The number of shares does not change, so the members' shares never add up to more than the larger of
-    // the old and the new quota.
+    // The number of shares does not change in this step, so the members' shares never add up to more than the
+    // larger of the old and the new quota.
     step.quotas = target.quotas.clone();
     step.max_attempts = target.max_attempts;
     step.retry_after = target.retry_after;
--- a/crates/rollout/src/rollout_state.rs
+++ b/crates/rollout/src/rollout_state.rs
@@ -14,8 +14,8 @@
 
 /// Maximum number of proposals that are stored for roll-backs. It limits the size of a snapshot.
 const MAX_STORED_PROPOSALS: usize = 32;
-/// Maximum number of steps that are stored because a member may still apply their degraded rules. At the
-/// limit the rollout waits for the member that lags most. It limits the size of a snapshot.
+/// Maximum number of steps that are stored because a member may still apply their degraded rules. It limits
+/// the size of a snapshot. When it is reached, the rollout waits for the member that lags most.
 const MAX_STORED_STEPS: usize = 256;
 
 /// The reason why a command was rejected without changing the state.
--- a/crates/rollout/src/step.rs
+++ b/crates/rollout/src/step.rs
@@ -112,7 +112,7 @@
         self.degraded_allows_worker(worker) && self.allows(worker, tenant)
     }
 
-    /// Returns whether the degraded rules allow the use of a worker for any tenant.
+    /// Returns whether the degraded rules allow the use of a worker, regardless of the tenant.
     pub(crate) fn degraded_allows_worker(&self, worker: &str) -> bool {
         self.degraded.allowed_workers.contains(worker)
             || self.degraded.allows_unlisted_workers && !self.worker_access.contains_key(worker)
