--- a/crates/rollout/src/lease/config.rs
+++ b/crates/rollout/src/lease/config.rs
@@ -37,8 +37,7 @@
         (self.duration as f64 / (1.0 - self.max_clock_drift)).ceil() as Nanos
     }
 
-    /// Returns how long after its grant a lease has certainly expired, by the clock of the leader that granted
-    /// it.
+    /// Returns how long after its grant a lease has certainly expired, by the clock of the granting leader.
     pub fn safe_expiry(&self) -> Nanos {
         (self.max_overlap() as f64 * (1.0 + self.max_clock_drift)).ceil() as Nanos
     }
