--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,22 +1,22 @@
-//! The arguments of the program.
+//! The command line arguments of the program.
 
 use std::path::PathBuf;
 
 use clap::{Parser, Subcommand, ValueEnum};
 
-/// A scheduler. Without a command it runs, configured by RELAY_CONFIG.
+/// A scheduler of requests. Without a command, it runs as configured by RELAY_CONFIG.
 ///
 /// Exit status: 0 success, 1 failure, 2 invalid arguments or files, 3 rejected by the rules.
 #[derive(Debug, Parser)]
 #[command(name = "nickelflow", version)]
 pub struct Arguments {
-    /// The scheduler's own settings; without them it shares no rules with other schedulers
+    /// The scheduler's settings file; without it, the scheduler shares no rules with other schedulers
     #[arg(long, global = true, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// The format of the log
+    /// The format of log lines
     #[arg(long, global = true, value_enum, default_value = "text")]
     pub log_format: LogFormat,
-    /// What to do; [`CliCommand::Run`] if it is missing.
+    /// The command to execute; [`CliCommand::Run`] if it is missing.
     #[command(subcommand)]
     pub command: Option<CliCommand>,
 }
@@ -24,7 +24,7 @@
 /// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// Text for people.
+    /// Human-readable text.
     Text,
     /// One JSON object per line.
     Json,
@@ -33,39 +33,40 @@
 /// A command of the program.
 #[derive(Debug, Subcommand)]
 pub enum CliCommand {
-    /// Schedule until a signal ends the program
+    /// Run the scheduler until a signal stops it
     Run,
-    /// Read a rules document and print all errors in it
+    /// Validate a rules document and print all errors in it
     Check {
-        /// The document
+        /// The file of the document
         file: PathBuf,
     },
-    /// Show and change the rules that all schedulers share
+    /// Show or change the rules that all schedulers share
     #[command(subcommand)]
     Rules(RulesCommand),
 }
 
-/// A command for the rules that all schedulers share. The names of the commands are part of the program's interface.
+/// A command for the rules that all schedulers share. The names of the commands are part of the program's
+/// interface.
 #[derive(Debug, Subcommand)]
 pub enum RulesCommand {
-    /// Create the data folder of a voter that has never voted; a voter whose folder was lost is replaced instead
+    /// Create the data folder of a voter that has never voted; replace a voter whose folder is lost instead
     Prepare,
-    /// Make the configured voters the first ones and a document the first rules, once in the life of a fleet
+    /// Bootstrap a fleet with the configured voters and a rules document; possible only once per fleet
     #[command(name = "found")]
     Bootstrap {
-        /// The document
+        /// The file of the document
         file: PathBuf,
     },
-    /// Print the newest proposal or an earlier one
+    /// Print the newest proposal, or the one with the given number
     Show {
         /// The number of the proposal
         proposal: Option<u64>,
     },
     /// Propose a document
     Propose {
-        /// The document
+        /// The file of the document
         file: PathBuf,
-        /// Propose it only if this proposal is still the newest
+        /// Propose the document only if the proposal with this number is still the newest
         #[arg(long = "over", value_name = "OVER")]
         base: Option<u64>,
     },
@@ -76,9 +77,9 @@
         /// The number of the proposal
         proposal: u64,
     },
-    /// Print the state of all voters and, from the leader, of all lease holders
+    /// Print the status of all voters and, as known to the leader, of the rollout and all members
     Status,
-    /// Remove a scheduler that is certainly down from the members, so that changes no longer wait for it
+    /// Remove a scheduler from the members, so that changes no longer wait for it; it must certainly be down
     #[command(name = "unseat")]
     RemoveMember {
         /// The name of the scheduler
@@ -87,7 +88,7 @@
     /// Replace the set of voters
     #[command(name = "voters")]
     ChangeVoters {
-        /// The numbers of all voters from now on
+        /// The ids of all voters in the new set
         ids: Vec<u64>,
     },
 }
--- a/crates/cli/src/document_file.rs
+++ b/crates/cli/src/document_file.rs
@@ -1,4 +1,4 @@
-//! Files with rules documents.
+//! Reads rules documents from files.
 
 use std::path::Path;
 
@@ -10,7 +10,8 @@
 ///
 /// # Errors
 ///
-/// [`CliError::UnreadableFile`], or [`CliError::InvalidDocument`] with all errors in the document.
+/// Fails with [`CliError::UnreadableFile`], or with [`CliError::InvalidDocument`], which holds all errors in
+/// the document.
 pub fn load_document(file: &Path) -> Result<RulesDocument, CliError> {
     let text = std::fs::read_to_string(file)
         .map_err(|source| CliError::UnreadableFile { file: file.to_owned(), source })?;
--- a/crates/cli/src/leader_client.rs
+++ b/crates/cli/src/leader_client.rs
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 ///
-/// [`CliError::Rejected`] if it rejected the request, [`CliError::NoLeader`] if no leader answered in time.
+/// [`CliError::Rejected`] if it rejected the request, [`CliError::NoLeaderAnswered`] if no leader answered in time.
 pub(crate) async fn ask_leader(
     peers: &PeerClient,
     new_request: impl Fn() -> PeerRequest,
@@ -44,7 +44,7 @@
             }
         }
         if started.elapsed() > LEADER_TIMEOUT {
-            return Err(CliError::NoLeader(reasons.trim_end().to_owned()));
+            return Err(CliError::NoLeaderAnswered(reasons.trim_end().to_owned()));
         }
         tokio::time::sleep(RETRY_DELAY).await;
     }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,5 @@
-//! The operator's interface to the scheduler: command line, settings file, and the commands for versioned rules.
+//! The operator's interface to the scheduler: the command line, the settings file and the commands for
+//! versioned rules.
 
 mod arguments;
 mod document_file;
--- a/crates/cli/src/status_report.rs
+++ b/crates/cli/src/status_report.rs
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 ///
-/// [`CliError::NoVoter`] if no voter answered.
+/// [`CliError::NoVoterAnswered`] if no voter answered.
 pub(crate) async fn status_report(peers: &PeerClient) -> Result<String, CliError> {
     let mut report = String::new();
     let mut answered = 0;
@@ -28,7 +28,7 @@
         }
     }
     if answered == 0 {
-        return Err(CliError::NoVoter(report.trim_end().to_owned()));
+        return Err(CliError::NoVoterAnswered(report.trim_end().to_owned()));
     }
     Ok(report)
 }
