--- a/crates/cli/src/leader_client.rs
+++ b/crates/cli/src/leader_client.rs
@@ -1,4 +1,4 @@
-//! Requests to the leader from a process that does not know which voter leads.
+//! Sends requests to the leader from a process that does not know which voter is the leader.
 
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -7,96 +7,97 @@
 
 use crate::error::CliError;
 
-/// The longest wait for one response: a quorum that is slow to confirm answers or fails well within it.
+/// The timeout of one request. It is far longer than a slow quorum takes to confirm or reject a request.
 pub(crate) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a leader is searched for: several elections fit into it.
-const LEADER_TIMEOUT: Duration = Duration::from_secs(15);
-/// The pause before all voters are asked again.
+/// How long the client searches for a leader. Several elections fit into this time.
+const LEADER_SEARCH_TIMEOUT: Duration = Duration::from_secs(15);
+/// The delay before the client sends the request to all voters again.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What a voter's response to a request means for the search for the leader.
-enum Attempt {
-    /// The voter leads and has answered.
+/// The result of an attempt to have one voter serve a request.
+enum AttemptResult {
+    /// The voter served the request.
     Answered(PeerResponse),
-    /// Every leader would reject the request.
+    /// The voter rejected the request for a reason for which any leader would reject it.
     Rejected(PeerError),
-    /// Another voter may answer; holds the reason why this one did not.
+    /// The voter did not serve the request, but another voter may. Holds the reason.
     Unavailable(String),
 }
 
-/// Sends a request to all voters in turn until the leader has answered.
+/// Sends a request to all voters in turn until one of them, the leader, serves or rejects it.
 ///
 /// # Errors
 ///
-/// [`CliError::Rejected`] if it rejected the request, [`CliError::NoLeaderAnswered`] if no leader answered in time.
-pub(crate) async fn ask_leader(
+/// Fails with [`CliError::Rejected`] if the request was rejected, and with [`CliError::NoLeaderAnswered`] if
+/// no leader answered in time.
+pub(crate) async fn send_to_leader(
     peers: &PeerClient,
     new_request: impl Fn() -> PeerRequest,
 ) -> Result<PeerResponse, CliError> {
-    let started = Instant::now();
+    let started_at = Instant::now();
     loop {
         let mut reasons = String::new();
         for address in peers.voters().values() {
-            match attempt(peers, address, &new_request()).await {
-                Attempt::Answered(response) => return Ok(response),
-                Attempt::Rejected(error) => return Err(CliError::Rejected(error)),
-                Attempt::Unavailable(reason) => drop(writeln!(reasons, "{reason}")),
+            match send_to_voter(peers, address, &new_request()).await {
+                AttemptResult::Answered(response) => return Ok(response),
+                AttemptResult::Rejected(error) => return Err(CliError::Rejected(error)),
+                AttemptResult::Unavailable(reason) => drop(writeln!(reasons, "{reason}")),
             }
         }
-        if started.elapsed() > LEADER_TIMEOUT {
+        if started_at.elapsed() > LEADER_SEARCH_TIMEOUT {
             return Err(CliError::NoLeaderAnswered(reasons.trim_end().to_owned()));
         }
         tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// Sends a request to one voter.
-async fn attempt(peers: &PeerClient, address: &str, request: &PeerRequest) -> Attempt {
+/// Sends a request to the voter at an address.
+async fn send_to_voter(peers: &PeerClient, address: &str, request: &PeerRequest) -> AttemptResult {
     match peers.send(address, request, RESPONSE_TIMEOUT).await {
         Ok(PeerResponse::Error(
             error @ (PeerError::Rejected(_)
             | PeerError::NotBootstrapped
             | PeerError::AlreadyBootstrapped
             | PeerError::DocumentTooLarge),
-        )) => Attempt::Rejected(error),
-        Ok(PeerResponse::Error(error)) => Attempt::Unavailable(format!("{address}: {error}")),
-        Ok(response) => Attempt::Answered(response),
-        Err(error) => Attempt::Unavailable(error.to_string()),
+        )) => AttemptResult::Rejected(error),
+        Ok(PeerResponse::Error(error)) => AttemptResult::Unavailable(format!("{address}: {error}")),
+        Ok(response) => AttemptResult::Answered(response),
+        Err(error) => AttemptResult::Unavailable(error.to_string()),
     }
 }
 
-/// Has the leader apply a change; returns the number that it resulted in.
+/// Sends a change to the leader. Returns the number of the proposal or version that the change created, or 0.
 ///
 /// # Errors
 ///
-/// Those of [`ask_leader`], and [`CliError::UnexpectedResponse`].
-pub(crate) async fn apply(
+/// Fails like [`send_to_leader`], and with [`CliError::UnexpectedResponse`].
+pub(crate) async fn apply_change(
     peers: &PeerClient,
     new_request: impl Fn() -> PeerRequest,
 ) -> Result<u64, CliError> {
-    match ask_leader(peers, new_request).await? {
+    match send_to_leader(peers, new_request).await? {
         PeerResponse::Applied(number) => Ok(number),
         _ => Err(CliError::UnexpectedResponse),
     }
 }
 
-/// The stored proposals by number, the newest last.
+/// Returns the stored proposals in the order of their numbers.
 ///
 /// # Errors
 ///
-/// Those of [`ask_leader`], and [`CliError::UnexpectedResponse`].
-pub(crate) async fn proposals(peers: &PeerClient) -> Result<Vec<Proposal>, CliError> {
-    match ask_leader(peers, || PeerRequest::History).await? {
+/// Fails like [`send_to_leader`], and with [`CliError::UnexpectedResponse`].
+pub(crate) async fn fetch_proposals(peers: &PeerClient) -> Result<Vec<Proposal>, CliError> {
+    match send_to_leader(peers, || PeerRequest::History).await? {
         PeerResponse::History(proposals) => Ok(proposals),
         _ => Err(CliError::UnexpectedResponse),
     }
 }
 
-/// The number of the newest proposal.
+/// Returns the number of the newest proposal, or 0 if there is none.
 ///
 /// # Errors
 ///
-/// Those of [`proposals`].
-pub(crate) async fn newest_proposal(peers: &PeerClient) -> Result<u64, CliError> {
-    Ok(proposals(peers).await?.last().map_or(0, |proposal| proposal.number))
+/// Fails like [`fetch_proposals`].
+pub(crate) async fn fetch_newest_proposal_number(peers: &PeerClient) -> Result<u64, CliError> {
+    Ok(fetch_proposals(peers).await?.last().map_or(0, |proposal| proposal.number))
 }
--- a/crates/cli/src/rules_command.rs
+++ b/crates/cli/src/rules_command.rs
@@ -1,4 +1,4 @@
-//! The commands for versioned rules.
+//! Executes the commands for versioned rules.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -9,15 +9,15 @@
 use crate::arguments::RulesCommand;
 use crate::document_file::load_document;
 use crate::error::CliError;
-use crate::leader_client::{apply, newest_proposal, proposals};
+use crate::leader_client::{apply_change, fetch_newest_proposal_number, fetch_proposals};
 use crate::settings::RulesSettings;
 use crate::status_report::status_report;
 
-/// Executes a command; returns what is to be printed.
+/// Executes a command, and returns the text to print.
 ///
 /// # Errors
 ///
-/// [`CliError`], of which each variant says which command it belongs to.
+/// Fails with the [`CliError`] that describes why the command could not be executed.
 pub async fn run_rules_command(settings: &RulesSettings, command: RulesCommand) -> Result<String, CliError> {
     let peers = PeerClient::new(settings.fleet.clone(), settings.voters()?);
     match command {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Creates the data folder of this voter.
+/// Creates the data folder of the voter that the settings configure.
 fn prepare_voter(settings: &RulesSettings) -> Result<String, CliError> {
     let (Some(voter_id), Some(data_dir)) = (settings.voter_id, &settings.data_dir) else {
         return Err(CliError::NotVoter);
@@ -42,56 +42,57 @@
     Ok(format!("prepared {} for voter {voter_id}\n", file.display()))
 }
 
-/// Makes a document the first rules.
+/// Bootstraps the fleet with the document in a file as its first rules.
 async fn bootstrap(peers: &PeerClient, file: &Path) -> Result<String, CliError> {
     let document = load_document(file)?;
-    let number = apply(peers, || PeerRequest::Bootstrap(document.clone())).await?;
-    Ok(format!("founded with proposal {number}\n"))
+    let number = apply_change(peers, || PeerRequest::Bootstrap(document.clone())).await?;
+    Ok(format!("bootstrapped with proposal {number}\n"))
 }
 
-/// Prints the newest or another proposal as a document.
-async fn show(peers: &PeerClient, wanted: Option<u64>) -> Result<String, CliError> {
-    let proposals = proposals(peers).await?;
-    let found = match wanted {
-        Some(wanted) => proposals.iter().find(|proposal| proposal.number == wanted),
+/// Formats the proposal with the requested number, or the newest proposal, as a document.
+async fn show(peers: &PeerClient, requested: Option<u64>) -> Result<String, CliError> {
+    let proposals = fetch_proposals(peers).await?;
+    let found = match requested {
+        Some(requested) => proposals.iter().find(|proposal| proposal.number == requested),
         None => proposals.last(),
     };
     let Proposal { number, document } = found.ok_or(CliError::UnknownProposal)?;
     Ok(format!("# proposal {number}\n{}", document.to_toml()))
 }
 
-/// Proposes a document.
+/// Proposes the document in a file if the proposal `base` is still the newest. The default of `base` is the
+/// newest proposal at the time of the command.
 async fn propose(peers: &PeerClient, file: &Path, base: Option<u64>) -> Result<String, CliError> {
     let document = load_document(file)?;
     let base = match base {
         Some(base) => base,
-        None => newest_proposal(peers).await?,
+        None => fetch_newest_proposal_number(peers).await?,
     };
     let new_request = || PeerRequest::Command(Command::Propose { base, document: document.clone() });
-    let number = apply(peers, new_request).await?;
+    let number = apply_change(peers, new_request).await?;
     Ok(format!("proposal {number}\n"))
 }
 
-/// Proposes an earlier document again.
+/// Proposes the document of an earlier proposal again.
 async fn roll_back(peers: &PeerClient, to: u64) -> Result<String, CliError> {
-    let base = newest_proposal(peers).await?;
-    let number = apply(peers, || PeerRequest::Command(Command::RollBack { base, to })).await?;
+    let base = fetch_newest_proposal_number(peers).await?;
+    let number = apply_change(peers, || PeerRequest::Command(Command::RollBack { base, to })).await?;
     Ok(format!("proposal {number}, the same as {to}\n"))
 }
 
-/// Lists the stored proposals.
+/// Lists the stored proposals, one per line.
 async fn history(peers: &PeerClient) -> Result<String, CliError> {
     let mut report = String::new();
-    for Proposal { number, document } in proposals(peers).await? {
-        let _ = writeln!(report, "{number}: {}", summary(&document));
+    for Proposal { number, document } in fetch_proposals(peers).await? {
+        let _ = writeln!(report, "{number}: {}", summarize(&document));
     }
     Ok(report)
 }
 
-/// The extent of a document in one line.
-fn summary(document: &RulesDocument) -> String {
+/// Summarizes a document in one line.
+fn summarize(document: &RulesDocument) -> String {
     format!(
-        "{} schedulers, {} tenants limited, {} workers set apart, list {}",
+        "{} schedulers, {} tenants with a quota, {} restricted workers, list version {}",
         document.schedulers,
         document.quotas.len(),
         document.workers.len(),
@@ -99,14 +100,14 @@
     )
 }
 
-/// Removes a scheduler that is down from the members.
+/// Removes a scheduler from the members.
 async fn remove_member(peers: &PeerClient, name: &str) -> Result<String, CliError> {
-    apply(peers, || PeerRequest::Command(Command::Leave(name.to_owned()))).await?;
-    Ok(format!("{name} has no seat any more\n"))
+    apply_change(peers, || PeerRequest::Command(Command::Leave(name.to_owned()))).await?;
+    Ok(format!("removed {name} from the members\n"))
 }
 
 /// Replaces the set of voters.
 async fn change_voters(peers: &PeerClient, ids: &[u64]) -> Result<String, CliError> {
-    apply(peers, || PeerRequest::ChangeVoters(ids.iter().copied().collect())).await?;
+    apply_change(peers, || PeerRequest::ChangeVoters(ids.iter().copied().collect())).await?;
     Ok(format!("{} voters\n", ids.len()))
 }
