--- a/crates/cli/src/status_report.rs
+++ b/crates/cli/src/status_report.rs
@@ -1,4 +1,5 @@
-//! The report of the `status` command. Its wording is part of the program's interface: other programs read it.
+//! The report of the `status` command. Other programs parse the line that begins with `in force`, so its
+//! wording must not change.
 
 use std::fmt::Write;
 
@@ -9,51 +10,51 @@
 use crate::error::CliError;
 use crate::leader_client::RESPONSE_TIMEOUT;
 
-/// The state of each voter and, from the leader, of the rollout and all members.
+/// Reports the status of each voter and, as known to the leader, of the rollout and all members.
 ///
 /// # Errors
 ///
-/// [`CliError::NoVoterAnswered`] if no voter answered.
+/// Fails with [`CliError::NoVoterAnswered`] if no voter answered.
 pub(crate) async fn status_report(peers: &PeerClient) -> Result<String, CliError> {
     let mut report = String::new();
-    let mut answered = 0;
+    let mut answered_count = 0;
     for (id, address) in peers.voters() {
         match peers.send(address, &PeerRequest::Status, RESPONSE_TIMEOUT).await {
             Ok(PeerResponse::Status(status)) => {
-                answered += 1;
+                answered_count += 1;
                 write_voter(&mut report, *id, &status);
             }
-            Ok(_) => drop(writeln!(report, "voter {id} at {address}: has answered something else")),
-            Err(error) => drop(writeln!(report, "voter {id}: not reached: {error}")),
+            Ok(_) => drop(writeln!(report, "voter {id} at {address}: unexpected response")),
+            Err(error) => drop(writeln!(report, "voter {id}: request failed: {error}")),
         }
     }
-    if answered == 0 {
+    if answered_count == 0 {
         return Err(CliError::NoVoterAnswered(report.trim_end().to_owned()));
     }
     Ok(report)
 }
 
-/// Writes the lines of one voter.
+/// Writes the status of one voter.
 fn write_voter(report: &mut String, id: u64, status: &SchedulerStatus) {
-    let active = match status.version {
-        None => "acts on nothing yet".to_owned(),
+    let lease = match status.version {
+        None => "no lease granted yet".to_owned(),
         Some(version) if status.lease_remaining_ms > 0 => {
-            format!("acts on {version}, {} ms of its lease left", status.lease_remaining_ms)
+            format!("version {version}, lease expires in {} ms", status.lease_remaining_ms)
         }
-        Some(version) => format!("acts carefully on {version} for {} ms", status.degraded_ms),
+        Some(version) => format!("version {version}, degraded for {} ms", status.degraded_ms),
     };
-    let _ = writeln!(report, "voter {id} ({}, {}): {active}", status.name, status.program_version);
+    let _ = writeln!(report, "voter {id} ({}, {}): {lease}", status.name, status.program_version);
     let _ = match (&status.not_voting_reason, status.leader_id) {
         (Some(reason), _) => writeln!(report, "  does not vote: {reason}"),
-        (None, Some(leader)) => writeln!(report, "  voter {leader} leads"),
-        (None, None) => writeln!(report, "  knows nobody that leads"),
+        (None, Some(leader)) => writeln!(report, "  leader: voter {leader}"),
+        (None, None) => writeln!(report, "  leader: unknown"),
     };
     if let Some(rollout) = &status.rollout {
         write_rollout(report, rollout, status.max_overlap_ms);
     }
 }
 
-/// Writes the state of the rollout as the leader knows it.
+/// Writes the status of the rollout and of its members, as known to the leader.
 fn write_rollout(report: &mut String, status: &RolloutStatus, max_overlap_ms: u64) {
     let RolloutStatus { active_version: active, newest_proposal, pending_steps, blocked_by, members } =
         status;
@@ -63,23 +64,23 @@
         T {max_overlap_ms} ms"
     );
     if let Some(reason) = blocked_by {
-        let _ = writeln!(report, "  the next step waits: {reason}");
+        let _ = writeln!(report, "  next step blocked: {reason}");
     }
     for member in members {
         write_member(report, member);
     }
 }
 
-/// Writes the line of one member.
+/// Writes the status of one member.
 fn write_member(report: &mut String, member: &MemberStatus) {
     let acknowledged = match member.acknowledged_version {
-        None => "nothing heard".to_owned(),
-        Some(version) => format!("has {version}"),
+        None => "no version acknowledged".to_owned(),
+        Some(version) => format!("acknowledged {version}"),
     };
     let lease = match member.lease_remaining_ms {
-        0 => "its lease is over".to_owned(),
-        remaining_ms => format!("its lease is over in {remaining_ms} ms at the latest"),
+        0 => "lease expired".to_owned(),
+        remaining_ms => format!("lease expires within {remaining_ms} ms"),
     };
     let MemberStatus { name, earliest_version: earliest, .. } = member;
-    let _ = writeln!(report, "  {name}: {acknowledged}, {lease}, may act on {earliest} at the earliest");
+    let _ = writeln!(report, "  {name}: {acknowledged}, {lease}, earliest version it may act on: {earliest}");
 }
