--- a/crates/faultshim/src/clock.rs
+++ b/crates/faultshim/src/clock.rs
@@ -12,7 +12,7 @@
     // SAFETY: the caller's pointer goes to the kernel as it came.
     let result = unsafe { real::call(libc::SYS_clock_gettime, clock.into(), time as c_long, 0, 0) };
     if result == 0 && clock == libc::CLOCK_REALTIME {
-        let offset = crate::plan().wall_offset(real::since_ms());
+        let offset = crate::plan().wall_clock_offset_s(real::since_ms());
         // SAFETY: the kernel has just written there.
         unsafe { (*time).tv_sec = ((*time).tv_sec + offset).max(0) };
     }
--- a/crates/faultshim/src/files.rs
+++ b/crates/faultshim/src/files.rs
@@ -3,19 +3,19 @@
 use std::ffi::{c_int, c_long, c_void};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use crate::plan::Call;
+use crate::plan::CallKind;
 use crate::real;
 
-fn failure(call: Call) -> Option<c_int> {
+fn failure(call: CallKind) -> Option<c_int> {
     let plan = crate::plan();
-    let fails = real::fails(plan.files);
-    plan.error(call, real::drawn()).filter(|_| fails).map(|errno| errno.number())
+    let fails = real::fails(plan.file_failure_rate);
+    plan.choose_error(call, real::drawn()).filter(|_| fails).map(|errno| errno.number())
 }
 
 /// Whether this write of a file is the one at which the process is to be killed.
 fn tears() -> bool {
     static WRITES: AtomicU64 = AtomicU64::new(0);
-    crate::plan().tear.is_some_and(|nth| WRITES.fetch_add(1, Ordering::Relaxed) + 1 == nth)
+    crate::plan().torn_write.is_some_and(|nth| WRITES.fetch_add(1, Ordering::Relaxed) + 1 == nth)
 }
 
 /// # Safety
@@ -31,7 +31,7 @@
         write(length / 2);
         real::kill_self();
     }
-    match failure(Call::FileWrite) {
+    match failure(CallKind::FileWrite) {
         Some(errno) => real::fail(errno) as isize,
         None => write(length),
     }
@@ -47,7 +47,7 @@
 }
 
 fn sync(number: c_long, fd: c_int) -> c_int {
-    match failure(Call::FileSync) {
+    match failure(CallKind::FileSync) {
         Some(errno) => real::fail(errno) as c_int,
         // SAFETY: this call takes no pointers.
         None => unsafe { real::call(number, fd.into(), 0, 0, 0) as c_int },
--- a/crates/faultshim/src/lib.rs
+++ b/crates/faultshim/src/lib.rs
@@ -21,15 +21,15 @@
 
 use std::sync::OnceLock;
 
-use plan::Plan;
+use plan::FaultPlan;
 
 /// What is to fail in this process.
-fn plan() -> &'static Plan {
-    static PLAN: OnceLock<Plan> = OnceLock::new();
+fn plan() -> &'static FaultPlan {
+    static PLAN: OnceLock<FaultPlan> = OnceLock::new();
     PLAN.get_or_init(|| {
         let text = std::env::var("NICKELFLOW_FAULTS").unwrap_or_default();
-        Plan::parse(&text).unwrap_or_else(|why| {
-            real::say(&format!("NICKELFLOW_FAULTS: {why}\n"));
+        FaultPlan::parse(&text).unwrap_or_else(|error| {
+            real::say(&format!("NICKELFLOW_FAULTS: {error}\n"));
             real::exit(2)
         })
     })
--- a/crates/faultshim/src/plan.rs
+++ b/crates/faultshim/src/plan.rs
@@ -1,50 +1,54 @@
-//! What is to fail, how often and when: a text of `name=value` words, read once at the first call.
+//! The fault plan: which calls fail, how often and when. It is a list of `name=value` settings separated by
+//! whitespace, read once at the first intercepted call. `P` stands for a probability from 0 to 1.
 //!
-//! | word | meaning |
+//! | setting | meaning |
 //! | --- | --- |
-//! | `seed=N` | the draws |
-//! | `accept=P`, `socket=P`, `connect=P` | the part of these calls that fails, by an error that is drawn |
-//! | `interrupt=P` | the part of waits, reads and writes on sockets that end with EINTR |
-//! | `short=P` | the part of reads and writes on sockets that do a part of the work |
-//! | `broken=P` | the part of reads and writes on sockets that break their connection |
-//! | `files=P` | the part of writes and syncs of files that fail with ENOSPC or EIO |
-//! | `hold=P`, `hold_ms=N` | the part of writes on sockets before which the process is held up, and for how long |
-//! | `tear=N` | the N-th write of a file does half of its work, and the process is killed |
-//! | `errno=NAME` | fail with this error instead of drawing one (calls that cannot fail so are left alone) |
-//! | `from_ms=N`, `to_ms=N` | only so long after the first call, and before that |
-//! | `while=PATH` | only while this file exists |
-//! | `wall_s=N` | the wall clock is ahead by so much (negative: behind) |
-//! | `step=MS:S` | so long after the first call it is stepped by so much; may come several times |
+//! | `seed=N` | seed of the random numbers |
+//! | `accept=P`, `socket=P`, `connect=P` | probability that the call fails with a randomly chosen error |
+//! | `interrupt=P` | probability that a wait, or a read or write on a socket, fails with EINTR |
+//! | `short=P` | probability that a read or write on a socket transfers only a part of the bytes |
+//! | `broken=P` | probability that a read or write on a socket breaks the connection |
+//! | `files=P` | probability that a write or sync of a file fails with ENOSPC or EIO |
+//! | `hold=P`, `hold_ms=N` | probability that a write on a socket is delayed, and the delay in ms |
+//! | `tear=N` | the N-th write of a file writes half of its bytes, then the process is killed |
+//! | `errno=NAME` | failing calls return this error; calls that cannot return it are left alone |
+//! | `from_ms=N`, `to_ms=N` | random faults occur only in this period (ms after the first call, end excluded) |
+//! | `while=PATH` | random faults occur only while this file exists |
+//! | `wall_s=N` | offset of the wall clock in s (negative: behind) |
+//! | `step=MS:S` | steps the wall clock by S s, MS ms after the first call; may be repeated |
 
 use std::fmt;
 
-/// Calls that can be made to fail by an error of their own.
+/// A kind of system call that fails with errors of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum CallKind {
     Accept,
     Socket,
     Connect,
     FileWrite,
     FileSync,
-    /// A read or write on a socket whose connection then counts as broken.
-    Transfer,
+    /// A read or write on a socket; the failure breaks the connection.
+    SocketTransfer,
 }
 
-impl Call {
-    /// The errors that the manual pages name for it and that concern this program's use of it.
+impl CallKind {
+    /// Returns the errors that the manual pages document for this call and that can occur in the way the
+    /// scheduler uses it.
     pub fn errors(self) -> &'static [Errno] {
         match self {
-            Call::Accept => &[Errno::ConnAborted, Errno::NFile, Errno::MFile, Errno::NoBufs, Errno::NoMem],
-            Call::Socket => &[Errno::NFile, Errno::MFile, Errno::NoBufs],
-            Call::Connect => &[Errno::AddrNotAvail, Errno::NetUnreach],
-            Call::FileWrite => &[Errno::NoSpc, Errno::Io],
-            Call::FileSync => &[Errno::Io, Errno::NoSpc],
-            Call::Transfer => &[Errno::ConnReset, Errno::TimedOut, Errno::HostUnreach],
+            CallKind::Accept => {
+                &[Errno::ConnAborted, Errno::NFile, Errno::MFile, Errno::NoBufs, Errno::NoMem]
+            }
+            CallKind::Socket => &[Errno::NFile, Errno::MFile, Errno::NoBufs],
+            CallKind::Connect => &[Errno::AddrNotAvail, Errno::NetUnreach],
+            CallKind::FileWrite => &[Errno::NoSpc, Errno::Io],
+            CallKind::FileSync => &[Errno::Io, Errno::NoSpc],
+            CallKind::SocketTransfer => &[Errno::ConnReset, Errno::TimedOut, Errno::HostUnreach],
         }
     }
 }
 
-/// Errors by name.
+/// An error number that a plan can name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Errno {
     ConnAborted,
@@ -61,8 +65,8 @@
     HostUnreach,
 }
 
-/// All of them, as they are written in a plan, with the kernel's number.
-const ERRORS: [(&str, Errno, i32); 12] = [
+/// Each error with its name in a plan and the kernel's number.
+const ERRNO_TABLE: [(&str, Errno, i32); 12] = [
     ("ECONNABORTED", Errno::ConnAborted, libc::ECONNABORTED),
     ("ENFILE", Errno::NFile, libc::ENFILE),
     ("EMFILE", Errno::MFile, libc::EMFILE),
@@ -78,137 +82,142 @@
 ];
 
 impl Errno {
-    /// The kernel's number.
+    /// Returns the kernel's number of the error.
     pub fn number(self) -> i32 {
-        ERRORS.iter().find(|(_, errno, _)| *errno == self).map_or(libc::EIO, |(_, _, number)| *number)
+        ERRNO_TABLE.iter().find(|(_, errno, _)| *errno == self).map_or(libc::EIO, |(_, _, number)| *number)
     }
 
-    fn named(name: &str) -> Option<Errno> {
-        ERRORS.iter().find(|(known, _, _)| *known == name).map(|(_, errno, _)| *errno)
+    fn from_name(name: &str) -> Option<Errno> {
+        ERRNO_TABLE.iter().find(|(known, _, _)| *known == name).map(|(_, errno, _)| *errno)
     }
 }
 
-/// What is wrong with a plan.
+/// The reason why a plan is invalid.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanError {
-    /// Not `name=value`, or a name that is not known.
-    UnknownWord(String),
-    /// The value does not fit the name.
-    BadValue(String),
+    /// The setting is not of the form `name=value`, or its name is unknown.
+    UnknownSetting(String),
+    /// The value is not valid for the setting.
+    InvalidValue(String),
 }
 
 impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PlanError::UnknownWord(word) => write!(f, "unknown word {word:?}"),
-            PlanError::BadValue(word) => write!(f, "bad value in {word:?}"),
+            PlanError::UnknownSetting(setting) => write!(f, "unknown setting {setting:?}"),
+            PlanError::InvalidValue(setting) => write!(f, "invalid value in {setting:?}"),
         }
     }
 }
 
 /// A step of the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Step {
-    /// So long (ms) after the first call.
+pub struct ClockStep {
+    /// Time of the step (ms after the first call).
     pub at_ms: u64,
-    pub by_s: i64,
+    /// Change of the wall clock (s).
+    pub offset_s: i64,
 }
 
-/// What is to fail.
+/// The faults to inject. Rates are probabilities from 0 to 1.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Plan {
+pub struct FaultPlan {
     pub seed: u64,
-    pub accept: f64,
-    pub socket: f64,
-    pub connect: f64,
-    pub interrupt: f64,
-    pub short: f64,
-    pub broken: f64,
-    pub files: f64,
-    pub hold: f64,
-    pub hold_ms: u64,
-    pub tear: Option<u64>,
-    pub errno: Option<Errno>,
-    pub from_ms: u64,
-    pub to_ms: Option<u64>,
-    pub while_file: Option<String>,
-    pub wall_s: i64,
-    pub steps: Vec<Step>,
+    pub accept_failure_rate: f64,
+    pub socket_failure_rate: f64,
+    pub connect_failure_rate: f64,
+    pub interrupt_rate: f64,
+    pub short_transfer_rate: f64,
+    pub broken_connection_rate: f64,
+    pub file_failure_rate: f64,
+    pub write_delay_rate: f64,
+    pub write_delay_ms: u64,
+    /// Number of the torn write, counted from 1.
+    pub torn_write: Option<u64>,
+    /// The error that failing calls return; `None` chooses one at random.
+    pub forced_errno: Option<Errno>,
+    pub start_ms: u64,
+    pub end_ms: Option<u64>,
+    pub condition_file: Option<String>,
+    pub wall_clock_offset_s: i64,
+    pub clock_steps: Vec<ClockStep>,
 }
 
-impl Plan {
-    /// Reads a plan; an empty text is one by which nothing fails.
-    pub fn parse(text: &str) -> Result<Plan, PlanError> {
-        let mut plan = Plan::default();
-        for word in text.split_whitespace() {
-            plan.take(word)?;
+impl FaultPlan {
+    /// Parses a plan; an empty text injects no faults.
+    pub fn parse(text: &str) -> Result<FaultPlan, PlanError> {
+        let mut plan = FaultPlan::default();
+        for setting in text.split_whitespace() {
+            plan.apply_setting(setting)?;
         }
         Ok(plan)
     }
 
-    fn take(&mut self, word: &str) -> Result<(), PlanError> {
-        let unknown = || PlanError::UnknownWord(word.to_owned());
-        let bad = || PlanError::BadValue(word.to_owned());
-        let (name, value) = word.split_once('=').ok_or_else(unknown)?;
-        let part = || value.parse().ok().filter(|part| (0.0..=1.0).contains(part)).ok_or_else(bad);
-        let number = || value.parse().map_err(|_| bad());
+    fn apply_setting(&mut self, setting: &str) -> Result<(), PlanError> {
+        let unknown = || PlanError::UnknownSetting(setting.to_owned());
+        let invalid = || PlanError::InvalidValue(setting.to_owned());
+        let (name, value) = setting.split_once('=').ok_or_else(unknown)?;
+        let rate = || value.parse().ok().filter(|rate| (0.0..=1.0).contains(rate)).ok_or_else(invalid);
+        let number = || value.parse().map_err(|_| invalid());
         match name {
             "seed" => self.seed = number()?,
-            "accept" => self.accept = part()?,
-            "socket" => self.socket = part()?,
-            "connect" => self.connect = part()?,
-            "interrupt" => self.interrupt = part()?,
-            "short" => self.short = part()?,
-            "broken" => self.broken = part()?,
-            "files" => self.files = part()?,
-            "hold" => self.hold = part()?,
-            "hold_ms" => self.hold_ms = number()?,
-            "tear" => self.tear = Some(number()?),
-            "errno" => self.errno = Some(Errno::named(value).ok_or_else(bad)?),
-            "from_ms" => self.from_ms = number()?,
-            "to_ms" => self.to_ms = Some(number()?),
-            "while" => self.while_file = Some(value.to_owned()),
-            "wall_s" => self.wall_s = value.parse().map_err(|_| bad())?,
+            "accept" => self.accept_failure_rate = rate()?,
+            "socket" => self.socket_failure_rate = rate()?,
+            "connect" => self.connect_failure_rate = rate()?,
+            "interrupt" => self.interrupt_rate = rate()?,
+            "short" => self.short_transfer_rate = rate()?,
+            "broken" => self.broken_connection_rate = rate()?,
+            "files" => self.file_failure_rate = rate()?,
+            "hold" => self.write_delay_rate = rate()?,
+            "hold_ms" => self.write_delay_ms = number()?,
+            "tear" => self.torn_write = Some(number()?),
+            "errno" => self.forced_errno = Some(Errno::from_name(value).ok_or_else(invalid)?),
+            "from_ms" => self.start_ms = number()?,
+            "to_ms" => self.end_ms = Some(number()?),
+            "while" => self.condition_file = Some(value.to_owned()),
+            "wall_s" => self.wall_clock_offset_s = value.parse().map_err(|_| invalid())?,
             "step" => {
-                let (at, by) = value.split_once(':').ok_or_else(bad)?;
-                let (at_ms, by_s) = (at.parse().map_err(|_| bad())?, by.parse().map_err(|_| bad())?);
-                self.steps.push(Step { at_ms, by_s });
+                let (time, offset) = value.split_once(':').ok_or_else(invalid)?;
+                let (at_ms, offset_s) =
+                    (time.parse().map_err(|_| invalid())?, offset.parse().map_err(|_| invalid())?);
+                self.clock_steps.push(ClockStep { at_ms, offset_s });
             }
             _ => return Err(unknown()),
         }
         Ok(())
     }
 
-    /// Whether calls fail so long (ms) after the first one, as far as time decides.
-    pub fn is_time(&self, since_ms: u64) -> bool {
-        since_ms >= self.from_ms && self.to_ms.is_none_or(|to| since_ms < to)
+    /// Returns whether random faults may occur at this time (ms after the first call).
+    pub fn is_active_at(&self, elapsed_ms: u64) -> bool {
+        elapsed_ms >= self.start_ms && self.end_ms.is_none_or(|end_ms| elapsed_ms < end_ms)
     }
 
-    /// By how much (s) the wall clock is off so long (ms) after the first call.
-    pub fn wall_offset(&self, since_ms: u64) -> i64 {
-        let steps = self.steps.iter().filter(|step| step.at_ms <= since_ms);
-        self.wall_s + steps.map(|step| step.by_s).sum::<i64>()
+    /// Returns the offset of the wall clock (s) at this time (ms after the first call).
+    pub fn wall_clock_offset_s(&self, elapsed_ms: u64) -> i64 {
+        let steps = self.clock_steps.iter().filter(|step| step.at_ms <= elapsed_ms);
+        self.wall_clock_offset_s + steps.map(|step| step.offset_s).sum::<i64>()
     }
 
-    /// The error for a call that is to fail, by a drawn number; `None` if the plan's one error is none of this call's.
-    pub fn error(&self, call: Call, drawn: u64) -> Option<Errno> {
+    /// Returns the error of a failing call, chosen by a random number; `None` if the plan forces an error that
+    /// this call cannot return.
+    pub fn choose_error(&self, call: CallKind, random: u64) -> Option<Errno> {
         let errors = call.errors();
-        match self.errno {
+        match self.forced_errno {
             Some(errno) => errors.contains(&errno).then_some(errno),
-            None => errors.get(drawn as usize % errors.len()).copied(),
+            None => errors.get(random as usize % errors.len()).copied(),
         }
     }
 }
 
-/// The n-th drawn number of a seed (the finalizer of SplitMix64).
-pub fn draw(seed: u64, n: u64) -> u64 {
+/// Returns the n-th random number of a seed (the finalizer of SplitMix64).
+pub fn nth_random(seed: u64, n: u64) -> u64 {
     let mut x = seed.wrapping_add(n.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-/// A drawn number as a part from 0 up to 1.
-pub fn as_part(drawn: u64) -> f64 {
-    (drawn >> 11) as f64 / (1u64 << 53) as f64
+/// Maps a random number to the range from 0 (included) to 1 (excluded).
+pub fn to_unit_interval(random: u64) -> f64 {
+    (random >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/faultshim/src/real.rs
+++ b/crates/faultshim/src/real.rs
@@ -3,7 +3,7 @@
 use std::ffi::{c_int, c_long};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use crate::plan::{as_part, draw};
+use crate::plan::{nth_random, to_unit_interval};
 
 /// Sets the calling thread's error and gives the result that goes with it.
 pub fn fail(errno: c_int) -> c_long {
@@ -69,13 +69,16 @@
 /// The next drawn number.
 pub fn drawn() -> u64 {
     static COUNT: AtomicU64 = AtomicU64::new(0);
-    draw(crate::plan().seed, COUNT.fetch_add(1, Ordering::Relaxed))
+    nth_random(crate::plan().seed, COUNT.fetch_add(1, Ordering::Relaxed))
 }
 
 /// Draws whether a call fails that does so in this part of the cases, now.
 pub fn fails(part: f64) -> bool {
     let plan = crate::plan();
-    part > 0.0 && plan.is_time(since_ms()) && exists(plan.while_file.as_deref()) && as_part(drawn()) < part
+    part > 0.0
+        && plan.is_active_at(since_ms())
+        && exists(plan.condition_file.as_deref())
+        && to_unit_interval(drawn()) < part
 }
 
 /// Whether a file exists; one that is not named counts as there.
--- a/crates/faultshim/src/sockets.rs
+++ b/crates/faultshim/src/sockets.rs
@@ -3,7 +3,7 @@
 use std::ffi::{c_int, c_long, c_void};
 use std::sync::atomic::{AtomicI32, AtomicU32, AtomicU64, AtomicU8, Ordering};
 
-use crate::plan::Call;
+use crate::plan::CallKind;
 use crate::real;
 
 /// Descriptors that are told apart; others pass unchanged.
@@ -79,9 +79,9 @@
     read == 0 || read < 0 && unsafe { *libc::__errno_location() } != libc::EAGAIN
 }
 
-fn failure(call: Call, part: f64) -> Option<c_int> {
+fn failure(call: CallKind, part: f64) -> Option<c_int> {
     let fails = real::fails(part);
-    crate::plan().error(call, real::drawn()).filter(|_| fails).map(|errno| errno.number())
+    crate::plan().choose_error(call, real::drawn()).filter(|_| fails).map(|errno| errno.number())
 }
 
 /// What is to become of a read or write on a socket.
@@ -97,17 +97,17 @@
     if kind(fd) != STREAM {
         return Transfer::Whole;
     }
-    if let Some(errno) = failure(Call::Transfer, plan.broken) {
+    if let Some(errno) = failure(CallKind::SocketTransfer, plan.broken_connection_rate) {
         if let Some(known) = descriptor(fd) {
             known.kind.store(BROKEN, Ordering::Relaxed);
         }
         reset(fd);
         return Transfer::Fails(errno);
     }
-    if real::fails(plan.interrupt) {
+    if real::fails(plan.interrupt_rate) {
         return Transfer::Fails(libc::EINTR);
     }
-    if length > 1 && real::fails(plan.short) {
+    if length > 1 && real::fails(plan.short_transfer_rate) {
         return Transfer::Part(1 + real::drawn() as usize % (length - 1));
     }
     Transfer::Whole
@@ -136,8 +136,8 @@
 }
 
 fn give(fd: c_int, length: usize, act: impl Fn(usize) -> c_long) -> isize {
-    if kind(fd) == STREAM && real::fails(crate::plan().hold) {
-        real::hold(crate::plan().hold_ms);
+    if kind(fd) == STREAM && real::fails(crate::plan().write_delay_rate) {
+        real::hold(crate::plan().write_delay_ms);
     }
     let broken = if kind(fd) == BROKEN { real::fail(libc::EPIPE) } else { 0 };
     carry_out(fd, length, broken, act)
@@ -160,7 +160,7 @@
                 as c_int
         }
     };
-    let Some(errno) = failure(Call::Accept, crate::plan().accept) else {
+    let Some(errno) = failure(CallKind::Accept, crate::plan().accept_failure_rate) else {
         let accepted = accept();
         opened(accepted, STREAM);
         return accepted;
@@ -195,7 +195,9 @@
 #[no_mangle]
 pub extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let internet = domain == libc::AF_INET || domain == libc::AF_INET6;
-    if let Some(errno) = internet.then(|| failure(Call::Socket, crate::plan().socket)).flatten() {
+    if let Some(errno) =
+        internet.then(|| failure(CallKind::Socket, crate::plan().socket_failure_rate)).flatten()
+    {
         return real::fail(errno) as c_int;
     }
     // SAFETY: this call takes no pointers.
@@ -214,7 +216,7 @@
     length: libc::socklen_t,
 ) -> c_int {
     if kind(fd) == STREAM {
-        if let Some(errno) = failure(Call::Connect, crate::plan().connect) {
+        if let Some(errno) = failure(CallKind::Connect, crate::plan().connect_failure_rate) {
             return real::fail(errno) as c_int;
         }
     }
@@ -335,7 +337,7 @@
     most: c_int,
     timeout: c_int,
 ) -> c_int {
-    if real::fails(crate::plan().interrupt) {
+    if real::fails(crate::plan().interrupt_rate) {
         return real::fail(libc::EINTR) as c_int;
     }
     // SAFETY: the caller's pointer goes to the kernel as it came.
