--- a/crates/faultshim/src/files.rs
+++ b/crates/faultshim/src/files.rs
@@ -1,65 +1,69 @@
-//! Writes and syncs of files.
+//! Replacements for the C library's functions that write and sync files.
 
 use std::ffi::{c_int, c_long, c_void};
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::plan::CallKind;
-use crate::real;
+use crate::syscalls;
 
-fn failure(call: CallKind) -> Option<c_int> {
+/// Returns the error number if the call is to fail.
+fn choose_failure(call: CallKind) -> Option<c_int> {
     let plan = crate::plan();
-    let fails = real::fails(plan.file_failure_rate);
-    plan.choose_error(call, real::drawn()).filter(|_| fails).map(|errno| errno.number())
+    let fails = syscalls::should_fail(plan.file_failure_rate);
+    plan.choose_error(call, syscalls::next_random()).filter(|_| fails).map(|errno| errno.number())
 }
 
-/// Whether this write of a file is the one at which the process is to be killed.
-fn tears() -> bool {
+/// Counts a write of a file, and returns whether it is the one during which the process is to be killed.
+fn is_torn_write() -> bool {
     static WRITES: AtomicU64 = AtomicU64::new(0);
     crate::plan().torn_write.is_some_and(|nth| WRITES.fetch_add(1, Ordering::Relaxed) + 1 == nth)
 }
 
 /// # Safety
 ///
-/// As for the C library's function of this name.
+/// The same as for the C library's function of this name.
 #[no_mangle]
-pub unsafe extern "C" fn pwrite64(fd: c_int, bytes: *const c_void, length: usize, at: i64) -> isize {
+pub unsafe extern "C" fn pwrite64(fd: c_int, bytes: *const c_void, length: usize, offset: i64) -> isize {
     let write = |length: usize| {
-        // SAFETY: the caller's pointer goes to the kernel as it came, with its length or less.
-        unsafe { real::call(libc::SYS_pwrite64, fd.into(), bytes as c_long, length as c_long, at) as isize }
+        // SAFETY: the caller's pointer is passed to the kernel unchanged, with its length or less.
+        unsafe {
+            syscalls::invoke(libc::SYS_pwrite64, fd.into(), bytes as c_long, length as c_long, offset)
+                as isize
+        }
     };
-    if tears() {
+    if is_torn_write() {
         write(length / 2);
-        real::kill_self();
+        syscalls::kill_self();
     }
-    match failure(CallKind::FileWrite) {
-        Some(errno) => real::fail(errno) as isize,
+    match choose_failure(CallKind::FileWrite) {
+        Some(errno) => syscalls::fail_with(errno) as isize,
         None => write(length),
     }
 }
 
 /// # Safety
 ///
-/// As for the C library's function of this name.
+/// The same as for the C library's function of this name.
 #[no_mangle]
-pub unsafe extern "C" fn pwrite(fd: c_int, bytes: *const c_void, length: usize, at: i64) -> isize {
-    // SAFETY: as the caller says.
-    unsafe { pwrite64(fd, bytes, length, at) }
+pub unsafe extern "C" fn pwrite(fd: c_int, bytes: *const c_void, length: usize, offset: i64) -> isize {
+    // SAFETY: the caller guarantees the same conditions.
+    unsafe { pwrite64(fd, bytes, length, offset) }
 }
 
-fn sync(number: c_long, fd: c_int) -> c_int {
-    match failure(CallKind::FileSync) {
-        Some(errno) => real::fail(errno) as c_int,
+fn sync_file(syscall_number: c_long, fd: c_int) -> c_int {
+    match choose_failure(CallKind::FileSync) {
+        Some(errno) => syscalls::fail_with(errno) as c_int,
         // SAFETY: this call takes no pointers.
-        None => unsafe { real::call(number, fd.into(), 0, 0, 0) as c_int },
+        None => unsafe { syscalls::invoke(syscall_number, fd.into(), 0, 0, 0) as c_int },
     }
 }
 
 #[no_mangle]
 pub extern "C" fn fsync(fd: c_int) -> c_int {
-    sync(libc::SYS_fsync, fd)
+    sync_file(libc::SYS_fsync, fd)
 }
 
 #[no_mangle]
 pub extern "C" fn fdatasync(fd: c_int) -> c_int {
-    sync(libc::SYS_fdatasync, fd)
+    sync_file(libc::SYS_fdatasync, fd)
 }
--- a/crates/faultshim/src/plan.rs
+++ b/crates/faultshim/src/plan.rs
@@ -12,7 +12,7 @@
 //! | `hold=P`, `hold_ms=N` | probability that a write on a socket is delayed, and the delay in ms |
 //! | `tear=N` | the N-th write of a file writes half of its bytes, then the process is killed |
 //! | `errno=NAME` | failing calls return this error; calls that cannot return it are left alone |
-//! | `from_ms=N`, `to_ms=N` | random faults occur only in this period (ms after the first call, end excluded) |
+//! | `from_ms=N`, `to_ms=N` | random faults occur only from and before this time (ms after the first call) |
 //! | `while=PATH` | random faults occur only while this file exists |
 //! | `wall_s=N` | offset of the wall clock in s (negative: behind) |
 //! | `step=MS:S` | steps the wall clock by S s, MS ms after the first call; may be repeated |
@@ -198,8 +198,8 @@
         self.wall_clock_offset_s + steps.map(|step| step.offset_s).sum::<i64>()
     }
 
-    /// Returns the error of a failing call, chosen by a random number; `None` if the plan forces an error that
-    /// this call cannot return.
+    /// Returns the error of a failing call, chosen by a random number; `None` if the plan forces an error
+    /// that this call cannot return.
     pub fn choose_error(&self, call: CallKind, random: u64) -> Option<Errno> {
         let errors = call.errors();
         match self.forced_errno {
--- a/crates/faultshim/src/sockets.rs
+++ b/crates/faultshim/src/sockets.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicI32, AtomicU32, AtomicU64, AtomicU8, Ordering};
 
 use crate::plan::CallKind;
-use crate::real;
+use crate::syscalls;
 
 /// Descriptors that are told apart; others pass unchanged.
 const MOST: usize = 1 << 16;
@@ -56,7 +56,7 @@
     if epoll >= 0 {
         let (control, event) = (libc::EPOLL_CTL_MOD.into(), &raw mut event as c_long);
         // SAFETY: the pointer is that of a live value of the right type.
-        unsafe { real::call(libc::SYS_epoll_ctl, epoll.into(), control, fd.into(), event) };
+        unsafe { syscalls::invoke(libc::SYS_epoll_ctl, epoll.into(), control, fd.into(), event) };
     }
 }
 
@@ -65,7 +65,7 @@
     let mut address = libc::sockaddr { sa_family: libc::AF_UNSPEC as u16, sa_data: [0; 14] };
     let length = size_of::<libc::sockaddr>() as c_long;
     // SAFETY: the pointer is that of a live value of the told size. An unspecified address disconnects.
-    unsafe { real::call(libc::SYS_connect, fd.into(), &raw mut address as c_long, length, 0) };
+    unsafe { syscalls::invoke(libc::SYS_connect, fd.into(), &raw mut address as c_long, length, 0) };
 }
 
 /// Whether the peer of a connection has closed or reset it, with nothing left to read.
@@ -80,8 +80,8 @@
 }
 
 fn failure(call: CallKind, part: f64) -> Option<c_int> {
-    let fails = real::fails(part);
-    crate::plan().choose_error(call, real::drawn()).filter(|_| fails).map(|errno| errno.number())
+    let fails = syscalls::should_fail(part);
+    crate::plan().choose_error(call, syscalls::next_random()).filter(|_| fails).map(|errno| errno.number())
 }
 
 /// What is to become of a read or write on a socket.
@@ -104,11 +104,11 @@
         reset(fd);
         return Transfer::Fails(errno);
     }
-    if real::fails(plan.interrupt_rate) {
+    if syscalls::should_fail(plan.interrupt_rate) {
         return Transfer::Fails(libc::EINTR);
     }
-    if length > 1 && real::fails(plan.short_transfer_rate) {
-        return Transfer::Part(1 + real::drawn() as usize % (length - 1));
+    if length > 1 && syscalls::should_fail(plan.short_transfer_rate) {
+        return Transfer::Part(1 + syscalls::next_random() as usize % (length - 1));
     }
     Transfer::Whole
 }
@@ -120,7 +120,7 @@
     }
     match transfer(fd, length) {
         Transfer::Whole => act(length) as isize,
-        Transfer::Fails(errno) => real::fail(errno) as isize,
+        Transfer::Fails(errno) => syscalls::fail_with(errno) as isize,
         Transfer::Part(most) => {
             let done = act(most);
             if done >= 0 {
@@ -136,10 +136,10 @@
 }
 
 fn give(fd: c_int, length: usize, act: impl Fn(usize) -> c_long) -> isize {
-    if kind(fd) == STREAM && real::fails(crate::plan().write_delay_rate) {
-        real::hold(crate::plan().write_delay_ms);
+    if kind(fd) == STREAM && syscalls::should_fail(crate::plan().write_delay_rate) {
+        syscalls::sleep_ms(crate::plan().write_delay_ms);
     }
-    let broken = if kind(fd) == BROKEN { real::fail(libc::EPIPE) } else { 0 };
+    let broken = if kind(fd) == BROKEN { syscalls::fail_with(libc::EPIPE) } else { 0 };
     carry_out(fd, length, broken, act)
 }
 
@@ -156,7 +156,7 @@
     let accept = || {
         // SAFETY: the caller's pointers go to the kernel as they came.
         unsafe {
-            real::call(libc::SYS_accept4, fd.into(), address as c_long, length as c_long, flags.into())
+            syscalls::invoke(libc::SYS_accept4, fd.into(), address as c_long, length as c_long, flags.into())
                 as c_int
         }
     };
@@ -174,9 +174,9 @@
         }
         reset(accepted);
         // SAFETY: this call takes no pointers; nobody else knows the descriptor.
-        unsafe { real::call(libc::SYS_close, accepted.into(), 0, 0, 0) };
+        unsafe { syscalls::invoke(libc::SYS_close, accepted.into(), 0, 0, 0) };
     }
-    real::fail(errno) as c_int
+    syscalls::fail_with(errno) as c_int
 }
 
 /// # Safety
@@ -198,10 +198,12 @@
     if let Some(errno) =
         internet.then(|| failure(CallKind::Socket, crate::plan().socket_failure_rate)).flatten()
     {
-        return real::fail(errno) as c_int;
+        return syscalls::fail_with(errno) as c_int;
     }
     // SAFETY: this call takes no pointers.
-    let fd = unsafe { real::call(libc::SYS_socket, domain.into(), kind.into(), protocol.into(), 0) as c_int };
+    let fd = unsafe {
+        syscalls::invoke(libc::SYS_socket, domain.into(), kind.into(), protocol.into(), 0) as c_int
+    };
     opened(fd, if internet { STREAM } else { OTHER });
     fd
 }
@@ -217,18 +219,18 @@
 ) -> c_int {
     if kind(fd) == STREAM {
         if let Some(errno) = failure(CallKind::Connect, crate::plan().connect_failure_rate) {
-            return real::fail(errno) as c_int;
+            return syscalls::fail_with(errno) as c_int;
         }
     }
     // SAFETY: the caller's pointer goes to the kernel as it came.
-    unsafe { real::call(libc::SYS_connect, fd.into(), address as c_long, length.into(), 0) as c_int }
+    unsafe { syscalls::invoke(libc::SYS_connect, fd.into(), address as c_long, length.into(), 0) as c_int }
 }
 
 #[no_mangle]
 pub extern "C" fn close(fd: c_int) -> c_int {
     opened(fd, OTHER);
     // SAFETY: this call takes no pointers.
-    unsafe { real::call(libc::SYS_close, fd.into(), 0, 0, 0) as c_int }
+    unsafe { syscalls::invoke(libc::SYS_close, fd.into(), 0, 0, 0) as c_int }
 }
 
 /// # Safety
@@ -238,7 +240,7 @@
 pub unsafe extern "C" fn read(fd: c_int, bytes: *mut c_void, length: usize) -> isize {
     // SAFETY: the caller's pointer goes to the kernel as it came, with its length or less.
     receive(fd, length, |most| unsafe {
-        real::call(libc::SYS_read, fd.into(), bytes as c_long, most as c_long, 0)
+        syscalls::invoke(libc::SYS_read, fd.into(), bytes as c_long, most as c_long, 0)
     })
 }
 
@@ -260,7 +262,7 @@
 pub unsafe extern "C" fn write(fd: c_int, bytes: *const c_void, length: usize) -> isize {
     // SAFETY: the caller's pointer goes to the kernel as it came, with its length or less.
     give(fd, length, |most| unsafe {
-        real::call(libc::SYS_write, fd.into(), bytes as c_long, most as c_long, 0)
+        syscalls::invoke(libc::SYS_write, fd.into(), bytes as c_long, most as c_long, 0)
     })
 }
 
@@ -295,7 +297,7 @@
             .collect();
         let (parts, count) = (shortened.as_ptr() as c_long, shortened.len() as c_long);
         // SAFETY: parts of what the caller hands over, no longer than it says.
-        unsafe { real::call(libc::SYS_writev, fd.into(), parts, count, 0) }
+        unsafe { syscalls::invoke(libc::SYS_writev, fd.into(), parts, count, 0) }
     })
 }
 
@@ -311,7 +313,8 @@
 ) -> c_int {
     // SAFETY: the caller's pointer goes to the kernel as it came.
     let result = unsafe {
-        real::call(libc::SYS_epoll_ctl, epoll.into(), control.into(), fd.into(), event as c_long) as c_int
+        syscalls::invoke(libc::SYS_epoll_ctl, epoll.into(), control.into(), fd.into(), event as c_long)
+            as c_int
     };
     if let Some(known) = descriptor(fd).filter(|_| result == 0) {
         if control == libc::EPOLL_CTL_DEL {
@@ -337,11 +340,12 @@
     most: c_int,
     timeout: c_int,
 ) -> c_int {
-    if real::fails(crate::plan().interrupt_rate) {
-        return real::fail(libc::EINTR) as c_int;
+    if syscalls::should_fail(crate::plan().interrupt_rate) {
+        return syscalls::fail_with(libc::EINTR) as c_int;
     }
     // SAFETY: the caller's pointer goes to the kernel as it came.
     unsafe {
-        real::call(libc::SYS_epoll_wait, epoll.into(), events as c_long, most.into(), timeout.into()) as c_int
+        syscalls::invoke(libc::SYS_epoll_wait, epoll.into(), events as c_long, most.into(), timeout.into())
+            as c_int
     }
 }
