--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: its engine, and the wire's words for what goes in and comes out.
+//! One dispatcher instance: its engine, and the translation between the engine and the wire protocol.
 
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
@@ -8,109 +8,120 @@
     Outcome, Output, Settings, StartAttempt, WorkerStatus,
 };
 
-use crate::wire::{self, Code, Incoming, Step};
+use crate::wire::{self, Event, ResultCode, Step};
 
-/// On the wire a job is known by its id, an instance by its address, and results do not pass.
-type Wired = Engine<String, (), ()>;
+/// The engine of one instance. The wire identifies a job by its id and a worker by its address, which serves
+/// as the worker's name, and carries no results.
+type SimulatorEngine = Engine<String, (), ()>;
 
+/// Runs one engine and keeps its outputs until the reply has been written.
 #[derive(Default)]
 pub struct Instance {
-    engine: Option<Wired>,
+    engine: Option<SimulatorEngine>,
     now: Nanos,
-    orders: Vec<Output<String, ()>>,
-    /// The soonest timer that has been asked for and has not come.
-    armed: Option<Nanos>,
-    /// The timer to ask for with this batch's answer.
-    arm: Option<Nanos>,
-    failed: Option<String>,
+    /// The engine's outputs for this batch.
+    outputs: Vec<Output<String, ()>>,
+    /// The earliest timer that has been requested and has not fired.
+    pending_timer: Option<Nanos>,
+    /// The timer to request in the reply to this batch.
+    requested_timer: Option<Nanos>,
+    /// The message of a panic of the engine. The engine gets no further inputs after a panic.
+    panic_message: Option<String>,
 }
 
 impl Instance {
-    pub fn take(&mut self, now: Nanos, inbox: Vec<Incoming>) -> Result<(), String> {
+    /// Processes the events of one batch at the simulated time `now`.
+    pub fn process_events(&mut self, now: Nanos, events: Vec<Event>) -> Result<(), String> {
         self.now = now;
-        for incoming in inbox {
-            match incoming {
-                Incoming::Boot { random_seed, env } => {
-                    let engine = Engine::new(settings(&env)?, random_seed).map_err(|e| e.to_string())?;
+        for event in events {
+            match event {
+                Event::Boot { random_seed, env } => {
+                    let engine =
+                        Engine::new(engine_settings(&env)?, random_seed).map_err(|e| e.to_string())?;
                     *self = Instance { engine: Some(engine), now, ..Instance::default() };
                 }
-                Incoming::Stop => *self = Instance::default(),
+                Event::Stop => *self = Instance::default(),
                 other => {
-                    if let Some(input) = self.input(other) {
-                        self.handle(input);
+                    if let Some(input) = self.translate_event(other) {
+                        self.handle_input(input);
                     }
                 }
             }
         }
-        let wanted = self.engine.as_ref().and_then(Engine::next_wake);
-        if let Some(at) = wanted.filter(|at| self.armed.is_none_or(|armed| *at < armed)) {
-            (self.armed, self.arm) = (wanted, Some(at));
+        let next_wake = self.engine.as_ref().and_then(Engine::next_wake);
+        if let Some(at) = next_wake.filter(|at| self.pending_timer.is_none_or(|pending| *at < pending)) {
+            (self.pending_timer, self.requested_timer) = (next_wake, Some(at));
         }
         Ok(())
     }
 
-    fn handle(&mut self, input: Input<String, (), ()>) {
-        let (Some(engine), None) = (self.engine.as_mut(), self.failed.as_ref()) else { return };
-        let (now, orders) = (self.now, &mut self.orders);
-        match catch_unwind(AssertUnwindSafe(|| engine.handle(now, input, orders))) {
-            // What the wire says of what is not there is passed over, as the wire asks.
+    /// Passes an input to the engine and records a panic, after which the instance ignores all inputs.
+    fn handle_input(&mut self, input: Input<String, (), ()>) {
+        let (Some(engine), None) = (self.engine.as_mut(), self.panic_message.as_ref()) else { return };
+        let (now, outputs) = (self.now, &mut self.outputs);
+        match catch_unwind(AssertUnwindSafe(|| engine.handle(now, input, outputs))) {
+            // The protocol requires that events for unknown jobs, attempts and workers are ignored.
             Ok(_) => {}
             Err(panic) => {
                 let text = panic.downcast_ref::<&str>().map(|s| (*s).to_owned());
                 let text = text.or_else(|| panic.downcast_ref::<String>().cloned());
-                self.failed = Some(text.unwrap_or_else(|| "the module panicked".to_owned()));
+                self.panic_message = Some(text.unwrap_or_else(|| "the module panicked".to_owned()));
             }
         }
     }
 
-    /// The answer to the batch.
+    /// Returns the steps that answer the batch.
     pub fn steps(&self) -> Vec<Step<'_>> {
-        if let Some(line) = &self.failed {
-            return vec![Step::GiveIn { line: line.clone() }];
+        if let Some(message) = &self.panic_message {
+            return vec![Step::GiveIn { line: message.clone() }];
         }
-        let arm = self.arm.map(|at| Step::Arm { key_back: 0, moment_ns: at });
-        self.orders.iter().filter_map(|order| self.step(order)).chain(arm).collect()
+        let timer = self.requested_timer.map(|at| Step::Arm { key_back: 0, moment_ns: at });
+        self.outputs.iter().filter_map(|output| self.translate_output(output)).chain(timer).collect()
     }
 
-    fn step<'a>(&'a self, order: &'a Output<String, ()>) -> Option<Step<'a>> {
-        let runner = |number: u32| Some(self.engine.as_ref()?.worker(number)?.name.as_str());
-        Some(match order {
-            Output::StartAttempt(StartAttempt { job_id: id, worker: instance, deadline: until, .. }) => {
-                Step::Route { id, runner: runner(*instance)?, max_wait_ns: until.saturating_sub(self.now) }
-            }
+    /// Translates an output of the engine, or returns `None` if the simulator needs no step for it.
+    fn translate_output<'a>(&'a self, output: &'a Output<String, ()>) -> Option<Step<'a>> {
+        let worker_name = |number: u32| Some(self.engine.as_ref()?.worker(number)?.name.as_str());
+        Some(match output {
+            Output::StartAttempt(StartAttempt { job_id: id, worker, deadline, .. }) => Step::Route {
+                id,
+                runner: worker_name(*worker)?,
+                max_wait_ns: deadline.saturating_sub(self.now),
+            },
             Output::Cancel { job_id: id, attempt } => Step::Revoke { id, seq_no: *attempt },
-            // In the simulator an attempt begins as it is decided.
+            // In the simulator an attempt starts at the moment of the decision, so that none is unstarted.
             Output::CancelUnstarted { .. } => return None,
             Output::FinalAnswer { job_id: id, answer: FinalAnswer::Rejected { retry_after } } => {
                 Step::Decline { id, pause_ns: *retry_after }
             }
             Output::FinalAnswer { job_id: id, answer: FinalAnswer::Failed } => Step::Lose { id },
-            // The simulator gives the client the result by itself.
+            // The simulator delivers the result to the client itself.
             Output::FinalAnswer { answer: FinalAnswer::Served(()), .. } => return None,
-            Output::Probe { worker: instance } => Step::Inspect { runner: runner(*instance)? },
+            Output::Probe { worker } => Step::Inspect { runner: worker_name(*worker)? },
             Output::Subscribe => Step::Follow { active: true },
         })
     }
 
-    /// The answer has gone out: forgets it.
-    pub fn sent(&mut self) {
-        self.orders.clear();
-        self.arm = None;
+    /// Discards the outputs and the timer request once the reply has been written.
+    pub fn clear_outputs(&mut self) {
+        self.outputs.clear();
+        self.requested_timer = None;
     }
 
-    fn input(&mut self, incoming: Incoming) -> Option<Input<String, (), ()>> {
-        Some(match incoming {
-            Incoming::DirectoryUpdate { kind, nodes_list } => {
-                let instances = nodes_list.unwrap_or_default().into_iter().map(listed).collect();
+    /// Translates an event, or returns `None` if the engine has no input for it.
+    fn translate_event(&mut self, event: Event) -> Option<Input<String, (), ()>> {
+        Some(match event {
+            Event::DirectoryUpdate { kind, nodes_list } => {
+                let workers = nodes_list.unwrap_or_default().into_iter().map(endpoint).collect();
                 let kind = match kind {
-                    wire::Kind::Incremental => ListKind::Changes,
-                    wire::Kind::Full => ListKind::Complete,
-                    wire::Kind::Saved => ListKind::Cached,
-                    wire::Kind::Failed => ListKind::Failed,
+                    wire::ListUpdateKind::Incremental => ListKind::Changes,
+                    wire::ListUpdateKind::Full => ListKind::Complete,
+                    wire::ListUpdateKind::Saved => ListKind::Cached,
+                    wire::ListUpdateKind::Failed => ListKind::Failed,
                 };
-                Input::WorkerList { kind, workers: instances }
+                Input::WorkerList { kind, workers }
             }
-            Incoming::Ingress(ingress) => Input::Job {
+            Event::Ingress(ingress) => Input::Job {
                 job_id: ingress.id,
                 job: Job {
                     class: ingress.service,
@@ -122,30 +133,32 @@
                     is_retry: ingress.retry.unwrap_or(false),
                 },
             },
-            Incoming::UnderWay { id, seq_no } => Input::Streaming { job_id: id, attempt: seq_no },
-            Incoming::Progress { id, seq_no } => Input::Progress { job_id: id, attempt: seq_no },
-            Incoming::Resolved { id, code, seq_no, health_info } => {
-                let outcome = outcome(code);
+            Event::UnderWay { id, seq_no } => Input::Streaming { job_id: id, attempt: seq_no },
+            Event::Progress { id, seq_no } => Input::Progress { job_id: id, attempt: seq_no },
+            Event::Resolved { id, code, seq_no, health_info } => {
+                let outcome = attempt_outcome(code);
                 let result = (outcome == Outcome::Ok).then_some(());
-                let end = AttemptResult { outcome, result, report: health_info.as_ref().map(report) };
-                Input::AttemptEnded { job_id: id, attempt: seq_no, result: end }
+                let attempt_result =
+                    AttemptResult { outcome, result, report: health_info.as_ref().map(load_report) };
+                Input::AttemptEnded { job_id: id, attempt: seq_no, result: attempt_result }
             }
-            Incoming::CancelledByClient { id } => Input::ClientDisconnected { job_id: id },
-            Incoming::Timer {} => {
-                self.armed = self.armed.filter(|at| *at > self.now);
+            Event::CancelledByClient { id } => Input::ClientDisconnected { job_id: id },
+            Event::Timer {} => {
+                self.pending_timer = self.pending_timer.filter(|at| *at > self.now);
                 Input::Wake
             }
-            Incoming::Sampled { runner, code, health_info } => Input::ProbeCompleted {
+            Event::Sampled { runner, code, health_info } => Input::ProbeCompleted {
                 worker: self.engine.as_ref()?.worker_number(&runner)?,
-                outcome: outcome(code),
-                report: health_info.as_ref().map(report),
+                outcome: attempt_outcome(code),
+                report: health_info.as_ref().map(load_report),
             },
-            Incoming::Boot { .. } | Incoming::Stop | Incoming::Other => return None,
+            Event::Boot { .. } | Event::Stop | Event::Other => return None,
         })
     }
 }
 
-fn listed(node: wire::Node) -> Endpoint<()> {
+/// Converts a worker of the wire's endpoint list.
+fn endpoint(node: wire::Node) -> Endpoint<()> {
     Endpoint {
         name: node.runner,
         address: (),
@@ -153,29 +166,31 @@
         kind: node.flavor.unwrap_or(0),
         cell: node.block.unwrap_or(0),
         status: match node.state {
-            wire::State::Ready => WorkerStatus::Ready,
-            wire::State::Draining => WorkerStatus::Draining,
-            wire::State::Gone => WorkerStatus::Gone,
+            wire::NodeState::Ready => WorkerStatus::Ready,
+            wire::NodeState::Draining => WorkerStatus::Draining,
+            wire::NodeState::Gone => WorkerStatus::Gone,
         },
         registered_size: node.nominal.unwrap_or(1.0),
         started_at: node.born_ns.filter(|t| *t > 0),
     }
 }
 
-fn outcome(code: Code) -> Outcome {
+/// Converts the result code of an attempt or a probe.
+fn attempt_outcome(code: ResultCode) -> Outcome {
     match code {
-        Code::Pass => Outcome::Ok,
-        Code::Fault => Outcome::Error,
-        Code::NoRoom => Outcome::Rejected,
-        Code::TooSlow => Outcome::Timeout,
-        Code::NoRoute => Outcome::ConnectFailed,
-        Code::Cut => Outcome::Reset,
-        Code::Undone => Outcome::Cancelled,
-        Code::StaleSend => Outcome::NotSent,
+        ResultCode::Pass => Outcome::Ok,
+        ResultCode::Fault => Outcome::Error,
+        ResultCode::NoRoom => Outcome::Rejected,
+        ResultCode::TooSlow => Outcome::Timeout,
+        ResultCode::NoRoute => Outcome::ConnectFailed,
+        ResultCode::Cut => Outcome::Reset,
+        ResultCode::Undone => Outcome::Cancelled,
+        ResultCode::StaleSend => Outcome::NotSent,
     }
 }
 
-fn report(health: &wire::Health) -> LoadReport {
+/// Converts a load report.
+fn load_report(health: &wire::HealthInfo) -> LoadReport {
     LoadReport {
         free_slots: health.x0,
         free_memory: health.x1,
@@ -185,19 +200,20 @@
     }
 }
 
-fn settings(env: &wire::Env) -> Result<Settings, String> {
+/// Converts the settings of an instance and fills in the defaults of absent fields.
+fn engine_settings(env: &wire::Environment) -> Result<Settings, String> {
     let specifics = env.specifics.as_ref();
     let class = |(number, class): (usize, &wire::Class)| {
         let stretch = specifics.and_then(|s| s.class_stretch.as_ref()?.get(number).copied());
         let kind = specifics.and_then(|s| s.class_kind.as_ref()?.get(number).copied());
         Class {
             idempotency: match class.effect {
-                wire::Effect::Safe => Idempotency::Idempotent,
-                wire::Effect::Unsafe => Idempotency::NonIdempotent,
-                wire::Effect::Keyed => Idempotency::IdempotentWithKey(match class.group {
-                    None | Some(wire::Group::Cell) => DeduplicationScope::Cell,
-                    Some(wire::Group::Zone) => DeduplicationScope::Zone,
-                    Some(wire::Group::All) => DeduplicationScope::All,
+                wire::ClassEffect::Idempotent => Idempotency::Idempotent,
+                wire::ClassEffect::NonIdempotent => Idempotency::NonIdempotent,
+                wire::ClassEffect::IdempotentWithKey => Idempotency::IdempotentWithKey(match class.group {
+                    None | Some(wire::DeduplicationGroup::Cell) => DeduplicationScope::Cell,
+                    Some(wire::DeduplicationGroup::Zone) => DeduplicationScope::Zone,
+                    Some(wire::DeduplicationGroup::All) => DeduplicationScope::All,
                 }),
             },
             deduplication_window: class.window_ns.unwrap_or(0),
@@ -209,8 +225,8 @@
             required_kind: kind.and_then(|k| u32::try_from(k).ok()),
         }
     };
-    let fields = env.load_report.as_ref().and_then(|r| r.fields.as_ref());
-    let how = env.load_report.as_ref().and_then(|r| r.how.as_deref());
+    let report_fields = env.load_report.as_ref().and_then(|r| r.fields.as_ref());
+    let report_mode = env.load_report.as_ref().and_then(|r| r.how.as_deref());
     let tenants = env.customers.as_deref().unwrap_or_default();
     Ok(Settings {
         dispatchers: env.balancers,
@@ -227,8 +243,8 @@
         requires_subscription: env.membership_mode.as_deref() == Some("on_request"),
         can_probe: env.caps.probing.unwrap_or(false),
         reports_registered_size: matches!(env.weights.as_deref(), Some("nominal" | "rough")),
-        reports_free_slots: how.is_some_and(|h| h != "silent")
-            && fields.is_some_and(|f| f.iter().any(|n| n == "x0")),
+        reports_free_slots: report_mode.is_some_and(|mode| mode != "silent")
+            && report_fields.is_some_and(|fields| fields.iter().any(|name| name == "x0")),
         notifies_job_start: specifics.and_then(|s| s.tells_start).unwrap_or(false),
         progress_interval: specifics.and_then(|s| s.progress_ns).unwrap_or(0),
         can_cancel: env.caps.cancel.unwrap_or(false),
