--- a/crates/daemon/src/acceptor.rs
+++ b/crates/daemon/src/acceptor.rs
@@ -31,7 +31,7 @@
 use crate::shutdown::Shutdown;
 use crate::throttle::Throttle;
 use crate::violations;
-use crate::Descriptors;
+use crate::DescriptorBudget;
 
 /// How long accepting pauses after it failed; descriptors come free meanwhile.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -126,10 +126,10 @@
 }
 
 /// Accepts client connections until the shutdown closes the listener; returns when all connections have ended.
-pub async fn serve(listener: TcpListener, handler: JobHandler, descriptors: Descriptors) {
+pub async fn serve(listener: TcpListener, handler: JobHandler, descriptors: DescriptorBudget) {
     let slots = Arc::new(ConnectionSlots {
         max: descriptors.clients,
-        spare: descriptors.closing,
+        spare: descriptors.closing_clients,
         counters: handler.counters.clone(),
         occupied: Mutex::default(),
         freed: Notify::new(),
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -27,7 +27,7 @@
 use crate::violations;
 use crate::worker_answer::{head_outcome, head_report, report_of, MessageError, WorkerMessage};
 use crate::worker_pool::{settled, CheckedOutConnection, ConnectionPreference, WorkerPool};
-use crate::write_guard::{ClientPresence, WriteGuard, HEAD_AGE};
+use crate::write_guard::{ClientPresence, WriteGuard, MAX_HEAD_AGE};
 
 /// What is forwarded unchanged from a client's request, and the client that sent it.
 pub struct ForwardedRequest {
@@ -89,12 +89,12 @@
     /// Returns the guard for its write, which begins now.
     fn write_guard(&self, request: &ForwardedRequest) -> WriteGuard {
         WriteGuard {
-            stop: self.stop.clone(),
+            stop_level: self.stop.clone(),
             client: request.client.clone(),
             deadline: self.deadline,
             resend_deadline: self.send_by,
             rules_valid_until: self.rules_valid_until(),
-            head_read: Instant::now(),
+            head_built_at: Instant::now(),
         }
     }
 
@@ -262,7 +262,7 @@
                 self.pool.give_back(connection);
                 return Err(Outcome::NotSent);
             }
-            let http_request = request.to_http(attempt, guard.head_read);
+            let http_request = request.to_http(attempt, guard.head_built_at);
             let sent = connection.connection.send(http_request, guard).await;
             trace.written = connection.connection.bytes_written();
             if let Some(denial) = connection.connection.violation() {
@@ -310,7 +310,7 @@
             biased;
             () = stopped(attempt.stop.clone(), StopLevel::IfUnstarted) => Err(Outcome::NotSent),
             () = tokio::time::sleep_until(attempt.give_up_at().into()) => Err(Outcome::NotSent),
-            connection = self.pool.lease(attempt.address, preference, self.worker_connections.connect) => connection,
+            connection = self.pool.lease(attempt.address, preference, self.worker_connections.connect_timeout) => connection,
         }
     }
 
@@ -323,7 +323,7 @@
         request: &ForwardedRequest,
     ) -> Result<AttemptResult, ResponseError> {
         loop {
-            let line = lines.next().await?.ok_or(ResponseError::Unfinished)?;
+            let line = lines.next_line().await?.ok_or(ResponseError::Unfinished)?;
             if line.iter().all(u8::is_ascii_whitespace) {
                 continue;
             }
@@ -344,7 +344,7 @@
         let UnreadResponse { mut lines, mut connection } = unread;
         let tail = async {
             let mut left = 64;
-            while let Ok(line) = lines.next().await {
+            while let Ok(line) = lines.next_line().await {
                 left -= 1;
                 if line.is_none() {
                     return connection.connection.ready().await;
@@ -419,10 +419,10 @@
     HeaderValue::try_from(address.to_string()).unwrap_or_else(|_| HeaderValue::from_static("instance"))
 }
 
-/// Returns the remaining time that an attempt announces to its worker: its head may grow as old as [`HEAD_AGE`] before it is
+/// Returns the remaining time that an attempt announces to its worker: its head may grow as old as [`MAX_HEAD_AGE`] before it is
 /// written. Of less than twice that, half.
 fn announced_time_left(left: Duration) -> Duration {
-    left.saturating_sub(HEAD_AGE).max(left / 2)
+    left.saturating_sub(MAX_HEAD_AGE).max(left / 2)
 }
 
 impl ForwardedRequest {
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -71,7 +71,7 @@
     /// The seed of its random choices.
     pub seed: u64,
     /// The number of descriptors that it may use.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The settings of the dispatcher.
     pub settings: Settings,
     /// The names of classes and tenants in requests.
@@ -81,7 +81,7 @@
     /// The names of zones and kinds in endpoint lists.
     pub entry_names: EntryNames,
     /// The endpoint list as this scheduler last had it.
-    pub known: EndpointList,
+    pub initial_endpoints: EndpointList,
 }
 
 /// Identifies the scheduler and the deployment of a file, by the names in it.
@@ -131,11 +131,11 @@
 #[derive(Clone, Copy)]
 pub struct WorkerConnectionConfig {
     /// The time within which a connection must be established.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// A worker closes a connection that has been idle for this long.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// How long after a scheduler was notified that a worker drains it may still send to it.
-    pub grace: Duration,
+    pub drain_grace: Duration,
 }
 
 /// The number of descriptors where the file sets none: the usual limit of a process.
@@ -166,41 +166,41 @@
     pub fn decode(bytes: &[u8], env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let value = json::decode(bytes)?;
         let root = Field::root(&value);
-        let seed = root.get("seed")?;
-        let sockets = match root.opt("limits")? {
-            Some(limits) => limits.opt("sockets")?.map(|sockets| sockets.whole()).transpose()?,
+        let seed = root.required("seed")?;
+        let max_descriptors = match root.optional("limits")? {
+            Some(limits) => limits.optional("sockets")?.map(|sockets| sockets.integer()).transpose()?,
             None => None,
         };
-        let settings = root.get("settings")?;
-        let zones = texts(settings.opt("zones")?)?;
-        let entry_names = EntryNames { zones, kinds: texts(settings.opt("kinds")?)? };
-        let known = known_workers(&root, &entry_names)?;
-        let (caps, contract) = (settings.get("caps")?, settings.get("contract")?);
+        let settings = root.required("settings")?;
+        let zones = texts(settings.optional("zones")?)?;
+        let entry_names = EntryNames { zones, kinds: texts(settings.optional("kinds")?)? };
+        let initial_endpoints = initial_endpoints(&root, &entry_names)?;
+        let (caps, contract) = (settings.required("caps")?, settings.required("contract")?);
         let names = SettingNames {
-            classes: names_of(settings.opt("classes")?)?,
-            tenants: names_of(settings.opt("customers")?)?,
+            classes: names_of(settings.optional("classes")?)?,
+            tenants: names_of(settings.optional("customers")?)?,
         };
-        let name_in_file = root.opt("name")?.map(|name| name.text().map(str::to_owned)).transpose()?;
+        let name_in_file = root.optional("name")?.map(|name| name.string().map(str::to_owned)).transpose()?;
         Ok(Config {
             identity: DeploymentIdentity::new(name_in_file, &names, &entry_names),
             name: match env("RELAY_NAME") {
                 Some(name) => name,
-                None => root.get("name")?.text()?.to_owned(),
+                None => root.required("name")?.string()?.to_owned(),
             },
             listen: address(&env, &root, "RELAY_LISTEN", "listen")?,
             discovery: address(&env, &root, "RELAY_DISCOVERY", "discovery")?,
-            seed: u64::from_str_radix(seed.text()?, 16)
+            seed: u64::from_str_radix(seed.string()?, 16)
                 .map_err(|_| seed.error("must be a hexadecimal number"))?,
-            sockets: sockets.unwrap_or(DEFAULT_SOCKETS),
+            max_descriptors: max_descriptors.unwrap_or(DEFAULT_SOCKETS),
             names,
             worker_connections: WorkerConnectionConfig {
-                connect: Duration::from_nanos(time(&caps, "connect_timeout_ns", 1_000_000_000)?),
-                idle: Duration::from_nanos(time(&caps, "conn_idle_ns", 10_000_000_000)?),
-                grace: Duration::from_nanos(time(&contract, "stop_sending_within_ns", 500_000_000)?),
+                connect_timeout: Duration::from_nanos(time(&caps, "connect_timeout_ns", 1_000_000_000)?),
+                idle_timeout: Duration::from_nanos(time(&caps, "conn_idle_ns", 10_000_000_000)?),
+                drain_grace: Duration::from_nanos(time(&contract, "stop_sending_within_ns", 500_000_000)?),
             },
             settings: dispatcher_settings(&settings)?,
             entry_names,
-            known,
+            initial_endpoints,
         })
     }
 }
@@ -215,26 +215,26 @@
     if let Some(text) = env(variable) {
         return text.parse().map_err(|_| ConfigError::Address { variable: variable.to_owned(), text });
     }
-    let field = root.get(name)?;
-    let address = field.text()?.parse();
+    let field = root.required(name)?;
+    let address = field.string()?.parse();
     Ok(address.map_err(|_| field.error("must be an address with a port"))?)
 }
 
 /// Reads a list of texts; one that is missing is empty.
 fn texts(list: Option<Field>) -> Result<Vec<String>, JsonError> {
     let items = list.map_or(Ok(vec![]), |list| list.items())?;
-    items.iter().map(|item| item.text().map(str::to_owned)).collect()
+    items.iter().map(|item| item.string().map(str::to_owned)).collect()
 }
 
 /// Reads the names of the objects in a list; one that is missing is empty.
 fn names_of(list: Option<Field>) -> Result<Vec<String>, JsonError> {
     let items = list.map_or(Ok(vec![]), |list| list.items())?;
-    items.iter().map(|item| Ok(item.get("name")?.text()?.to_owned())).collect()
+    items.iter().map(|item| Ok(item.required("name")?.string()?.to_owned())).collect()
 }
 
 /// Reads the endpoint list in the file. Unlike one from discovery it must be sound in every entry.
-fn known_workers(root: &Field, names: &EntryNames) -> Result<EndpointList, JsonError> {
-    let Some(known) = root.opt("known")? else {
+fn initial_endpoints(root: &Field, names: &EntryNames) -> Result<EndpointList, JsonError> {
+    let Some(known) = root.optional("known")? else {
         return Ok(EndpointList { index: 0, snapshot: true, entries: vec![], skipped: vec![] });
     };
     let known = EndpointList::decode(&known, names)?;
@@ -261,32 +261,32 @@
 }
 
 fn time(object: &Field, name: &str, default: u64) -> Result<u64, JsonError> {
-    let Some(field) = object.opt(name)? else { return Ok(default) };
-    match field.whole()? {
+    let Some(field) = object.optional(name)? else { return Ok(default) };
+    match field.integer()? {
         ns if ns <= MAX_TIME_NS => Ok(ns),
         _ => Err(field.error("must be a time of at most 30 days")),
     }
 }
 
 fn number(object: &Field, name: &str, default: f64) -> Result<f64, JsonError> {
-    object.opt(name)?.map_or(Ok(default), |field| field.number())
+    object.optional(name)?.map_or(Ok(default), |field| field.number())
 }
 
 fn flag(object: &Field, name: &str) -> Result<bool, JsonError> {
-    object.opt(name)?.map_or(Ok(false), |field| field.flag())
+    object.optional(name)?.map_or(Ok(false), |field| field.boolean())
 }
 
 /// Returns a figure of a class from one of the lists in `specifics`, which are ordered as the classes are.
 fn class_specific(specifics: Option<&Field>, list: &str, class: usize) -> Result<Option<f64>, JsonError> {
     let Some(specifics) = specifics else { return Ok(None) };
-    let Some(list) = specifics.opt(list)? else { return Ok(None) };
+    let Some(list) = specifics.optional(list)? else { return Ok(None) };
     list.items()?.get(class).map(|figure| figure.number()).transpose()
 }
 
 /// Reads the class with this index.
 fn class_settings(index: usize, class: &Field, specifics: Option<&Field>) -> Result<Class, JsonError> {
-    let scope = match class.opt("group")? {
-        Some(scope) => scope.word(&[
+    let scope = match class.optional("group")? {
+        Some(scope) => scope.one_of(&[
             ("all", DeduplicationScope::All),
             ("zone", DeduplicationScope::Zone),
             ("cell", DeduplicationScope::Cell),
@@ -299,10 +299,10 @@
         ("side_effect", Idempotency::NonIdempotent),
     ];
     let stretch = class_specific(specifics, "class_stretch", index)?.unwrap_or(0.0);
-    class.get("deadline_ns")?;
-    class.get("on_time_ns")?;
+    class.required("deadline_ns")?;
+    class.required("on_time_ns")?;
     Ok(Class {
-        idempotency: class.get("effect")?.word(&idempotencies)?,
+        idempotency: class.required("effect")?.one_of(&idempotencies)?,
         deduplication_window: time(class, "window_ns", 0)?,
         latency_objective: time(class, "on_time_ns", 0)?,
         latency_stretch: number(class, "aim_stretch", stretch)?,
@@ -317,10 +317,10 @@
 
 /// Returns whether load reports contain the free slots.
 fn reports_free_slots(settings: &Field) -> Result<bool, JsonError> {
-    let Some(report) = settings.opt("load_report")? else { return Ok(false) };
-    let is_reported = report.opt("how")?.map_or(Ok("silent"), |how| how.text())? != "silent";
-    let fields = report.opt("fields")?.map_or(Ok(vec![]), |fields| fields.items())?;
-    Ok(is_reported && fields.iter().any(|name| name.text() == Ok("x0")))
+    let Some(report) = settings.optional("load_report")? else { return Ok(false) };
+    let is_reported = report.optional("how")?.map_or(Ok("silent"), |how| how.string())? != "silent";
+    let fields = report.optional("fields")?.map_or(Ok(vec![]), |fields| fields.items())?;
+    Ok(is_reported && fields.iter().any(|name| name.string() == Ok("x0")))
 }
 
 fn service_limits(contract: &Field) -> Result<ServiceLimits, JsonError> {
@@ -335,25 +335,31 @@
 
 /// Reads the dispatcher's settings from the object of the platform's first message.
 fn dispatcher_settings(settings: &Field) -> Result<Settings, JsonError> {
-    let specifics = settings.opt("specifics")?;
-    let tenants = settings.opt("customers")?.map_or(Ok(vec![]), |customers| customers.items())?;
+    let specifics = settings.optional("specifics")?;
+    let tenants = settings.optional("customers")?.map_or(Ok(vec![]), |customers| customers.items())?;
     let tenant = |tenant: &Field| Ok(Tenant { quota_per_s: number(tenant, "quota_per_s", 0.0)? });
-    let (caps, contract) = (settings.get("caps")?, settings.get("contract")?);
+    let (caps, contract) = (settings.required("caps")?, settings.required("contract")?);
     let reports_free_slots = reports_free_slots(settings)?;
     // `live` figures shift from list to list: keys that followed them would be fetched anew with each.
-    let weights = settings.opt("weights")?.map_or(Ok("silent"), |weights| weights.text())?;
+    let weights = settings.optional("weights")?.map_or(Ok("silent"), |weights| weights.string())?;
     let reports_registered_size = matches!(weights, "nominal" | "rough");
-    let mode = settings.opt("membership_mode")?;
+    let mode = settings.optional("membership_mode")?;
     let notifies_job_start = specifics.as_ref().map_or(Ok(false), |s| flag(s, "tells_start"))?;
     let progress_interval = specifics.as_ref().map_or(Ok(0), |s| time(s, "progress_ns", 0))?;
     let class = |(index, class): (usize, &Field)| class_settings(index, class, specifics.as_ref());
     Ok(Settings {
-        dispatchers: settings.get("balancers")?.whole()?,
-        zone: settings.opt("az")?.map_or(Ok(0), |zone| zone.whole())?,
-        classes: settings.get("classes")?.items()?.iter().enumerate().map(class).collect::<Result<_, _>>()?,
+        dispatchers: settings.required("balancers")?.integer()?,
+        zone: settings.optional("az")?.map_or(Ok(0), |zone| zone.integer())?,
+        classes: settings
+            .required("classes")?
+            .items()?
+            .iter()
+            .enumerate()
+            .map(class)
+            .collect::<Result<_, _>>()?,
         tenants: tenants.iter().map(tenant).collect::<Result<_, JsonError>>()?,
         limits: service_limits(&contract)?,
-        requires_subscription: mode.map_or(Ok(""), |mode| mode.text())? == "on_request",
+        requires_subscription: mode.map_or(Ok(""), |mode| mode.string())? == "on_request",
         can_probe: flag(&caps, "probing")?,
         reports_registered_size,
         reports_free_slots,
@@ -361,7 +367,7 @@
         progress_interval,
         can_cancel: flag(&caps, "cancel")?,
         allows_hedging: flag(&caps, "parallel_tries")?,
-        max_attempts: caps.opt("most_tries")?.map_or(Ok(1), |tries| tries.whole())?,
+        max_attempts: caps.optional("most_tries")?.map_or(Ok(1), |tries| tries.integer())?,
         max_retry_after: time(&caps, "max_retry_after_ns", 0)?,
         connect_timeout: time(&caps, "connect_timeout_ns", 1_000_000_000)?,
         clock_resolution: time(settings, "resolution_ns", 1_000_000)?,
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -22,7 +22,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep_until;
 
-use crate::interrupted::uninterrupted;
+use crate::interrupted::retry_interrupted;
 use crate::listen::is_shortage;
 use crate::write_guard::WriteGuard;
 
@@ -80,7 +80,7 @@
         self.written.fetch_add(written as u64, Ordering::Relaxed);
         let mut attempt = self.attempt();
         attempt.bytes += written as u64;
-        let broken = attempt.guard.as_ref().and_then(|guard| guard.broken_by(Instant::now()));
+        let broken = attempt.guard.as_ref().and_then(|guard| guard.violation_at(Instant::now()));
         attempt.broken = attempt.broken.or(broken);
     }
 }
@@ -206,7 +206,7 @@
         request: Request<Full<Bytes>>,
         guard: WriteGuard,
     ) -> Result<Response<Incoming>, RequestError> {
-        let by = guard.write_by();
+        let by = guard.write_deadline();
         self.out.begin(Some(guard));
         self.exchange(request, by).await
     }
@@ -282,7 +282,7 @@
         mut write: impl FnMut(Pin<&mut TcpStream>) -> Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
         self.out.permit()?;
-        let written = uninterrupted(|| write(Pin::new(&mut self.stream)));
+        let written = retry_interrupted(|| write(Pin::new(&mut self.stream)));
         if let Poll::Ready(Ok(n)) = written {
             self.out.count(n);
         }
@@ -292,7 +292,7 @@
 
 impl AsyncRead for GuardedStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
-        uninterrupted(|| Pin::new(&mut self.stream).poll_read(cx, buf))
+        retry_interrupted(|| Pin::new(&mut self.stream).poll_read(cx, buf))
     }
 }
 
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -167,13 +167,13 @@
         if self.bytes.len() > MAX_LINE_BYTES {
             return Err(ListError::TooLong);
         }
-        let closed = self.nesting.closed(line)?;
+        let closed = self.nesting.scan(line)?;
         Ok(closed.then(|| std::mem::take(self).bytes))
     }
 }
 
 fn is_list(line: &[u8]) -> bool {
-    json::decode(line).is_ok_and(|value| Field::root(&value).get("endpoints").is_ok())
+    json::decode(line).is_ok_and(|value| Field::root(&value).required("endpoints").is_ok())
 }
 
 /// How a watch ended.
@@ -460,7 +460,7 @@
         let mut lines = LineReader::new(answer.into_body(), MAX_LINE_BYTES);
         let mut object = JsonObjectReader::default();
         loop {
-            let line = match timeout(self.timing.silent(), lines.next()).await {
+            let line = match timeout(self.timing.silent(), lines.next_line()).await {
                 Ok(Ok(Some(line))) => line,
                 Ok(Ok(None)) => return (ended(), "discovery ended it".to_owned()),
                 Ok(Err(error)) => return (ended(), error.to_string()),
--- a/crates/daemon/src/endpoint_list.rs
+++ b/crates/daemon/src/endpoint_list.rs
@@ -36,37 +36,37 @@
     /// Returns an error if the object is no list, or is the snapshot of another deployment.
     pub fn decode(list: &Field, names: &EntryNames) -> Result<EndpointList, JsonError> {
         let (mut entries, mut skipped) = (vec![], vec![]);
-        for field in list.get("endpoints")?.items()? {
+        for field in list.required("endpoints")?.items()? {
             match entry(&field, names) {
                 Ok(entry) => entries.push(entry),
                 Err(why) => skipped.push(why),
             }
         }
-        let snapshot = list.opt("snapshot")?.map_or(Ok(false), |s| s.flag())?;
+        let snapshot = list.optional("snapshot")?.map_or(Ok(false), |s| s.boolean())?;
         let unlike =
             |e: &WorkerEndpoint| e.zone as usize == names.zones.len() && e.kind as usize == names.kinds.len();
         let named = !names.zones.is_empty() && !names.kinds.is_empty() && !entries.is_empty();
         if snapshot && named && entries.iter().all(unlike) {
             return Err(list.error("names no zone and no type of the settings: it is another deployment's"));
         }
-        Ok(EndpointList { index: list.get("index")?.whole()?, snapshot, entries, skipped })
+        Ok(EndpointList { index: list.required("index")?.integer()?, snapshot, entries, skipped })
     }
 }
 
 fn entry(field: &Field, names: &EntryNames) -> Result<WorkerEndpoint, JsonError> {
     let statuses =
         [("active", WorkerStatus::Ready), ("leaving", WorkerStatus::Draining), ("left", WorkerStatus::Gone)];
-    let status = field.get("status")?.word(&statuses)?;
+    let status = field.required("status")?.one_of(&statuses)?;
     let number = |name: &str, known: &[String]| -> Result<u32, JsonError> {
-        let Some(field) = field.opt(name)? else { return Ok(0) };
-        let text = field.text()?;
+        let Some(field) = field.optional(name)? else { return Ok(0) };
+        let text = field.string()?;
         // One that the settings do not name is unlike all that they do.
         Ok(known.iter().position(|known| known == text).unwrap_or(known.len()) as u32)
     };
     // No attempt goes to a worker that drains, and its draining must not be missed for a wrong address.
     let unspecified = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
-    let address = match (field.opt("address")?, status) {
-        (Some(address), status) => match (address.text()?.parse(), status) {
+    let address = match (field.optional("address")?, status) {
+        (Some(address), status) => match (address.string()?.parse(), status) {
             (Ok(address), _) => address,
             (Err(_), WorkerStatus::Ready) => return Err(address.error("must be an address with a port")),
             (Err(_), _) => unspecified,
@@ -74,15 +74,15 @@
         (None, WorkerStatus::Ready) => return Err(field.error("has no address")),
         (None, _) => unspecified,
     };
-    let since: u64 = field.opt("since_ms")?.map_or(Ok(0), |since| since.whole())?;
+    let since: u64 = field.optional("since_ms")?.map_or(Ok(0), |since| since.integer())?;
     Ok(WorkerEndpoint {
-        name: field.get("name")?.text()?.to_owned(),
+        name: field.required("name")?.string()?.to_owned(),
         address,
         zone: number("zone", &names.zones)?,
         kind: number("type", &names.kinds)?,
-        cell: field.opt("group")?.map_or(Ok(0), |cell| cell.whole())?,
+        cell: field.optional("group")?.map_or(Ok(0), |cell| cell.integer())?,
         status,
-        registered_size: field.opt("weight")?.map_or(Ok(1.0), |weight| weight.number())?,
+        registered_size: field.optional("weight")?.map_or(Ok(1.0), |weight| weight.number())?,
         started_at: (since > 0).then(|| since.saturating_mul(1_000_000)),
     })
 }
--- a/crates/daemon/src/json.rs
+++ b/crates/daemon/src/json.rs
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// Returns [`JsonError::TooDeep`] if more than 32 brackets are open.
-    pub fn closed(&mut self, bytes: &[u8]) -> Result<bool, JsonError> {
+    pub fn scan(&mut self, bytes: &[u8]) -> Result<bool, JsonError> {
         for byte in bytes {
             match byte {
                 _ if self.is_escaped => self.is_escaped = false,
@@ -72,7 +72,7 @@
 /// Returns an error if the bytes are not one JSON value, or one that is nested too deep.
 pub fn decode(bytes: &[u8]) -> Result<JsonValue, JsonError> {
     let text = std::str::from_utf8(bytes).map_err(|_| JsonError::NotUtf8)?;
-    Nesting::default().closed(bytes)?;
+    Nesting::default().scan(bytes)?;
     text.parse::<JsonValue>().map_err(|error| JsonError::Syntax(error.to_string()))
 }
 
@@ -104,16 +104,16 @@
     }
 
     /// Returns a member that may be missing; null equals missing.
-    pub fn opt(&self, name: &str) -> Result<Option<Field<'a>>, JsonError> {
+    pub fn optional(&self, name: &str) -> Result<Option<Field<'a>>, JsonError> {
         let path = self.member_path(name);
         let value = self.object()?.get(name).filter(|value| !value.is_null());
         Ok(value.map(|value| Field { path, value }))
     }
 
     /// Returns a member that must be there.
-    pub fn get(&self, name: &str) -> Result<Field<'a>, JsonError> {
+    pub fn required(&self, name: &str) -> Result<Field<'a>, JsonError> {
         let missing = || JsonError::Field { path: self.member_path(name), problem: "missing".to_owned() };
-        self.opt(name)?.ok_or_else(missing)
+        self.optional(name)?.ok_or_else(missing)
     }
 
     /// Returns the items of a list.
@@ -124,12 +124,12 @@
     }
 
     /// Returns a text.
-    pub fn text(&self) -> Result<&'a str, JsonError> {
+    pub fn string(&self) -> Result<&'a str, JsonError> {
         self.value.get::<String>().map(String::as_str).ok_or_else(|| self.must_be("text"))
     }
 
     /// Returns a truth value.
-    pub fn flag(&self) -> Result<bool, JsonError> {
+    pub fn boolean(&self) -> Result<bool, JsonError> {
         self.value.get::<bool>().copied().ok_or_else(|| self.must_be("true or false"))
     }
 
@@ -142,7 +142,7 @@
     }
 
     /// Returns a whole number that fits the type asked for.
-    pub fn whole<T: TryFrom<u64>>(&self) -> Result<T, JsonError> {
+    pub fn integer<T: TryFrom<u64>>(&self) -> Result<T, JsonError> {
         let number = self.number()?;
         let is_whole = (0.0..=MAX_EXACT_WHOLE).contains(&number) && number.fract() == 0.0;
         let fitting = if is_whole { T::try_from(number as u64).ok() } else { None };
@@ -150,8 +150,8 @@
     }
 
     /// Returns what a text stands for that must be one of the given words.
-    pub fn word<T: Copy>(&self, words: &[(&str, T)]) -> Result<T, JsonError> {
-        let text = self.text()?;
+    pub fn one_of<T: Copy>(&self, words: &[(&str, T)]) -> Result<T, JsonError> {
+        let text = self.string()?;
         if let Some((_, value)) = words.iter().find(|(word, _)| *word == text) {
             return Ok(*value);
         }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -49,27 +49,32 @@
 
 /// The division of the descriptors that the settings allow; no part takes from another.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Descriptors {
+pub struct DescriptorBudget {
     /// The program's own: the standard streams, the listener, the runtime's, the signals' and the watch, 12 in all;
     /// at times another watch, a client that is being turned away and a file that is read again. What schedulers need
     /// that agree on rules comes out of the rest of it.
-    pub own: usize,
+    pub reserved: usize,
     /// Client connections that are closing while others have taken their places.
-    pub closing: usize,
+    pub closing_clients: usize,
     /// Connections to workers, for attempts and probes.
     pub workers: usize,
     /// Connections of clients.
     pub clients: usize,
 }
 
-impl Descriptors {
+impl DescriptorBudget {
     /// Of fewer than 64 each part gets less; fewer than 32 do not suffice.
-    pub fn of(sockets: usize) -> Descriptors {
-        let own = (sockets / 2).min(32);
-        let closing = ((sockets - own) / 2).min(16);
-        let shared = sockets - own - closing;
+    pub fn for_limit(sockets: usize) -> DescriptorBudget {
+        let reserved = (sockets / 2).min(32);
+        let closing_clients = ((sockets - reserved) / 2).min(16);
+        let shared = sockets - reserved - closing_clients;
         let workers = (shared * 2 / 5).max(1);
-        Descriptors { own, closing, workers, clients: shared.saturating_sub(workers).max(1) }
+        DescriptorBudget {
+            reserved,
+            closing_clients,
+            workers,
+            clients: shared.saturating_sub(workers).max(1),
+        }
     }
 }
 
@@ -103,7 +108,7 @@
 ) -> Result<(), DaemonError> {
     let (queue, inputs) = mpsc::unbounded_channel();
     let (ask, asked) = mpsc::unbounded_channel();
-    let descriptors = Descriptors::of(config.sockets);
+    let descriptors = DescriptorBudget::for_limit(config.max_descriptors);
     let worker_client =
         WorkerClient::new(descriptors.workers, config.worker_connections, counters.clone(), queue.clone());
     tokio::spawn(worker_client.clone().sweep());
@@ -117,12 +122,12 @@
     let timing = WatchTiming {
         pushed: !config.settings.requires_subscription,
         schedulers: config.settings.dispatchers,
-        grace: config.worker_connections.grace,
+        grace: config.worker_connections.drain_grace,
     };
     let rng = fastrand::Rng::with_seed(config.seed);
     let client =
         DiscoveryClient { discovery, names: config.entry_names, timing, rng, queue: queue.clone(), asked };
-    tokio::spawn(client.run(config.known));
+    tokio::spawn(client.run(config.initial_endpoints));
     if let Some(active_rules) = active_rules {
         tokio::spawn(rules_conversion::forward_rules(
             active_rules,
--- a/crates/daemon/src/line_reader.rs
+++ b/crates/daemon/src/line_reader.rs
@@ -35,7 +35,7 @@
     /// # Errors
     ///
     /// Returns an error if a line is too long or the response breaks off.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, LineError> {
+    pub async fn next_line(&mut self) -> Result<Option<Bytes>, LineError> {
         loop {
             if let Some(end) = self.buffer[self.searched..].iter().position(|b| *b == b'\n') {
                 let line = self.buffer.split_to(self.searched + end).freeze();
--- a/crates/daemon/src/request_reader.rs
+++ b/crates/daemon/src/request_reader.rs
@@ -19,7 +19,7 @@
 
 use crate::client_connection::{ClientConnection, DisconnectCheck};
 use crate::early_rejection::EarlyRejection;
-use crate::interrupted::uninterrupted;
+use crate::interrupted::retry_interrupted;
 
 pub const MAX_BODY_BYTES: u64 = 64 << 10;
 /// Heads are kept in memory for each connection, and memory may be 32 MB for hundreds of them.
@@ -150,7 +150,7 @@
     fn fill(&mut self, cx: &mut Context) -> Poll<io::Result<()>> {
         let mut space = [0; 8 << 10];
         let mut read = ReadBuf::new(&mut space);
-        ready!(uninterrupted(|| Pin::new(&mut self.stream).poll_read(cx, &mut read)))?;
+        ready!(retry_interrupted(|| Pin::new(&mut self.stream).poll_read(cx, &mut read)))?;
         self.ended = read.filled().is_empty();
         self.buffer.extend_from_slice(read.filled());
         Poll::Ready(Ok(()))
@@ -271,7 +271,7 @@
 impl AsyncWrite for ClientStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let mut request_reader = self.request_reader();
-        let written = uninterrupted(|| Pin::new(&mut request_reader.stream).poll_write(cx, bytes));
+        let written = retry_interrupted(|| Pin::new(&mut request_reader.stream).poll_write(cx, bytes));
         request_reader.client_connection.state().stuck = written.is_pending();
         written
     }
@@ -282,7 +282,8 @@
         bytes: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
         let mut request_reader = self.request_reader();
-        let written = uninterrupted(|| Pin::new(&mut request_reader.stream).poll_write_vectored(cx, bytes));
+        let written =
+            retry_interrupted(|| Pin::new(&mut request_reader.stream).poll_write_vectored(cx, bytes));
         request_reader.client_connection.state().stuck = written.is_pending();
         written
     }
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -26,9 +26,9 @@
 pub struct ShutdownSchedule {
     /// Until then the door stays open: in a rolling restart the others may not be back yet, and whoever is
     /// sent away then finds nobody.
-    pub closing: Duration,
+    pub stop_accepting_after: Duration,
     /// All that is still open then is answered.
-    pub answered: Duration,
+    pub answer_all_after: Duration,
 }
 
 impl ShutdownSchedule {
@@ -36,7 +36,10 @@
     pub fn new(longest_deadline: Duration) -> ShutdownSchedule {
         let kill = longest_deadline.min(LONGEST) + KILL;
         let answered = kill.saturating_sub(WRITING).max(CROSSING + Duration::from_millis(50));
-        ShutdownSchedule { closing: answered.saturating_sub(LAST).max(CROSSING), answered }
+        ShutdownSchedule {
+            stop_accepting_after: answered.saturating_sub(LAST).max(CROSSING),
+            answer_all_after: answered,
+        }
     }
 }
 
@@ -63,9 +66,9 @@
 impl ShutdownTrigger {
     /// Runs through the stages; what follows waits for what was taken by itself.
     pub async fn pull(&self) {
-        let answer_by = Instant::now() + self.1.answered;
+        let answer_by = Instant::now() + self.1.answer_all_after;
         self.0.send_replace(Stage::Begun { answer_by });
-        tokio::time::sleep(self.1.closing).await;
+        tokio::time::sleep(self.1.stop_accepting_after).await;
         self.0.send_replace(Stage::Closing { answer_by });
     }
 }
--- a/crates/daemon/src/start_times.rs
+++ b/crates/daemon/src/start_times.rs
@@ -5,7 +5,7 @@
 //!
 //! - a start lies before the moment at which it was first heard of, and from there real time runs;
 //! - of two starts in one list the earlier one is older by the difference, whatever any clock says here;
-//! - the wall clock at the start of the program is believed but for [`TOLERANCE`]: a worker that started longer ago than
+//! - the wall clock at the start of the program is believed but for [`WALL_CLOCK_TOLERANCE`]: a worker that started longer ago than
 //!   that is not taken for new by each scheduler that starts.
 //!
 //! From all of it follows a time that discovery's clock has surely passed, which only ever moves on.
@@ -16,7 +16,7 @@
 use nickelflow_engine::Nanos;
 
 /// By how much the wall clock may be ahead: it may be stepped by an hour, and by another before that is noticed.
-pub const TOLERANCE: Duration = Duration::from_secs(2 * 3_600);
+pub const WALL_CLOCK_TOLERANCE: Duration = Duration::from_secs(2 * 3_600);
 
 /// A worker's start as it was last reported, and as it was converted.
 struct WorkerStart {
@@ -34,7 +34,7 @@
 impl StartTimes {
     /// At `now` on the scheduler's clock, when the wall clock shows so much Unix time.
     pub fn new(now: Nanos, unix: Duration) -> StartTimes {
-        let surely = unix.saturating_sub(TOLERANCE).as_nanos() as i128;
+        let surely = unix.saturating_sub(WALL_CLOCK_TOLERANCE).as_nanos() as i128;
         StartTimes { ahead: surely - i128::from(now), known: HashMap::new() }
     }
 
--- a/crates/daemon/src/worker_pool.rs
+++ b/crates/daemon/src/worker_pool.rs
@@ -112,7 +112,8 @@
                 // All descriptors are in use: an idle connection to some other worker gives way.
                 self.drop_oldest();
                 let permit =
-                    timeout(self.worker_connections.connect, self.permits.clone().acquire_owned()).await;
+                    timeout(self.worker_connections.connect_timeout, self.permits.clone().acquire_owned())
+                        .await;
                 // The worker has no part in that.
                 permit.ok().and_then(Result::ok).ok_or(Outcome::NotSent)?
             }
@@ -126,7 +127,7 @@
         let began = Instant::now();
         loop {
             self.counters.connects.add();
-            let error = match Connection::open(address, self.worker_connections.connect).await {
+            let error = match Connection::open(address, self.worker_connections.connect_timeout).await {
                 Ok(connection) => {
                     *lock(&self.came_up) = Some(Instant::now());
                     return Ok(connection);
@@ -177,7 +178,7 @@
             ConnectionPreference::Settled => settled(pooled.answered),
             ConnectionPreference::New => false,
         };
-        let usable = self.worker_connections.idle.saturating_sub(IDLE_MARGIN);
+        let usable = self.worker_connections.idle_timeout.saturating_sub(IDLE_MARGIN);
         let mut all = lock(&self.idle);
         let idle = all.get_mut(&address)?;
         let last = idle.iter().rposition(will_do)?;
@@ -211,7 +212,7 @@
     pub async fn sweep(&self) {
         loop {
             tokio::time::sleep(Duration::from_secs(1)).await;
-            let usable = self.worker_connections.idle.saturating_sub(IDLE_MARGIN);
+            let usable = self.worker_connections.idle_timeout.saturating_sub(IDLE_MARGIN);
             lock(&self.idle).retain(|_, idle| {
                 idle.retain(|pooled| pooled.since.elapsed() < usable && pooled.connection.usable());
                 !idle.is_empty()
--- a/crates/daemon/src/write_guard.rs
+++ b/crates/daemon/src/write_guard.rs
@@ -12,7 +12,7 @@
 
 /// The time left that a head tells was read at most this long before its first byte, and is told shorter by as much: the
 /// slack of 0.15 s that the platform gives is for a process that is held up in the write itself.
-pub const HEAD_AGE: Duration = Duration::from_millis(20);
+pub const MAX_HEAD_AGE: Duration = Duration::from_millis(20);
 
 /// Whether a client is still there, by a look at its socket.
 #[derive(Clone)]
@@ -25,7 +25,7 @@
     }
 
     /// Of somebody who never leaves.
-    pub fn lasting() -> ClientPresence {
+    pub fn always_connected() -> ClientPresence {
         ClientPresence::new(|| false)
     }
 
@@ -38,7 +38,7 @@
 /// What bounds the write of one attempt.
 pub struct WriteGuard {
     /// How far the attempt may still proceed.
-    pub stop: watch::Receiver<StopLevel>,
+    pub stop_level: watch::Receiver<StopLevel>,
     /// Whether the client is still there.
     pub client: ClientPresence,
     /// When its client gives up.
@@ -48,7 +48,7 @@
     /// Until when the rules hold that it was decided by.
     pub rules_valid_until: Option<Instant>,
     /// When the time left that its head tells was read.
-    pub head_read: Instant,
+    pub head_built_at: Instant,
 }
 
 impl WriteGuard {
@@ -61,18 +61,18 @@
         let facts = WriteFacts {
             now: Instant::now(),
             started,
-            stop: *self.stop.borrow(),
+            stop: *self.stop_level.borrow(),
             client_disconnected: !started && self.client.has_disconnected(),
             deadline: self.deadline,
             resend_deadline: self.resend_deadline,
             rules_valid_until: self.rules_valid_until,
-            headers_valid_until: self.head_read + HEAD_AGE,
+            headers_valid_until: self.head_built_at + MAX_HEAD_AGE,
         };
         permits::check_write(&facts)
     }
 
     /// What a write that began with a permit has broken all the same, as the process stood still in it.
-    pub fn broken_by(&self, written: Instant) -> Option<Denial> {
+    pub fn violation_at(&self, written: Instant) -> Option<Denial> {
         let over = |until: Option<Instant>| until.is_some_and(|until| until <= written);
         let found = [
             (over(self.resend_deadline), Denial::DeduplicationWindowExpired),
@@ -82,7 +82,7 @@
     }
 
     /// When it is too late to write anything more of it.
-    pub fn write_by(&self) -> Option<Instant> {
+    pub fn write_deadline(&self) -> Option<Instant> {
         [self.resend_deadline, self.rules_valid_until].into_iter().flatten().min()
     }
 }
--- a/crates/daemon/tests/attempts.rs
+++ b/crates/daemon/tests/attempts.rs
@@ -37,9 +37,9 @@
     fn new(connect: Duration) -> Pool {
         let (queue, ends) = mpsc::unbounded_channel();
         let config = WorkerConnectionConfig {
-            connect,
-            idle: Duration::from_secs(10),
-            grace: Duration::from_millis(500),
+            connect_timeout: connect,
+            idle_timeout: Duration::from_secs(10),
+            drain_grace: Duration::from_millis(500),
         };
         let counters = SharedCounters::default();
         Pool { client: WorkerClient::new(16, config, counters.clone(), queue), ends, counters }
@@ -56,7 +56,7 @@
         let request = ForwardedRequest {
             method: "POST".parse().expect("a method"),
             target: "/api".parse().expect("a target"),
-            client: ClientPresence::lasting(),
+            client: ClientPresence::always_connected(),
             request_id: "1".parse().expect("an id"),
             headers: vec![],
             body: Bytes::from(vec![b'x'; 60_000]),
--- a/crates/daemon/tests/descriptors.rs
+++ b/crates/daemon/tests/descriptors.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use common::{accept, config, entry, job, Discovery, Does, Program, Worker, PATIENCE};
-use nickelflow_daemon::Descriptors;
+use nickelflow_daemon::DescriptorBudget;
 use rstest::rstest;
 
 /// How discovery is down: its port is closed, or it takes calls and says nothing.
@@ -193,15 +193,22 @@
 #[test]
 fn the_parts_add_up_and_none_is_empty() {
     for sockets in 32..=70_000 {
-        let Descriptors { own, closing, workers, clients } = Descriptors::of(sockets);
-        assert_eq!(own + closing + workers + clients, sockets);
+        let DescriptorBudget { reserved, closing_clients, workers, clients } =
+            DescriptorBudget::for_limit(sockets);
+        assert_eq!(reserved + closing_clients + workers + clients, sockets);
         // At rest 11 are open, and a client that is turned away holds one more.
-        assert!(own >= 12 && closing >= 1 && workers >= 2 && clients >= 3, "{:?}", Descriptors::of(sockets));
+        assert!(
+            reserved >= 12 && closing_clients >= 1 && workers >= 2 && clients >= 3,
+            "{:?}",
+            DescriptorBudget::for_limit(sockets)
+        );
     }
-    let of = |sockets| (Descriptors::of(sockets).workers, Descriptors::of(sockets).clients);
+    let of = |sockets| {
+        (DescriptorBudget::for_limit(sockets).workers, DescriptorBudget::for_limit(sockets).clients)
+    };
     assert_eq!((of(64), of(256), of(1024)), ((6, 10), (83, 125), (390, 586)));
     // Too few, but no reason to panic.
     for sockets in 0..32 {
-        let _ = Descriptors::of(sockets);
+        let _ = DescriptorBudget::for_limit(sockets);
     }
 }
--- a/crates/daemon/tests/start_times.rs
+++ b/crates/daemon/tests/start_times.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use nickelflow_daemon::start_times::{StartTimes, TOLERANCE};
+use nickelflow_daemon::start_times::{StartTimes, WALL_CLOCK_TOLERANCE};
 use rstest::rstest;
 
 const S: u64 = 1_000_000_000;
@@ -49,7 +49,7 @@
 
 #[test]
 fn what_started_long_ago_is_old_at_once() {
-    let long_ago = TOLERANCE.as_secs() + 3_600;
+    let long_ago = WALL_CLOCK_TOLERANCE.as_secs() + 3_600;
     for off_s in [0, 3_600] {
         assert!(age(&mut starts(off_s), NOW, "w", UNIX - long_ago * S) >= 3_600);
     }
--- a/crates/daemon/tests/text_format.rs
+++ b/crates/daemon/tests/text_format.rs
@@ -26,19 +26,19 @@
     assert_eq!(config.listen.to_string(), "127.0.0.2:3100");
     assert_eq!(config.discovery.to_string(), "127.0.0.2:8600");
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
-    assert_eq!(config.sockets, 512);
+    assert_eq!(config.max_descriptors, 512);
     assert_eq!(config.names.classes, ["reading", "search", "order", "cell", "fleet"]);
     assert_eq!(config.names.tenants, ["emmental", "seeland"]);
     assert_eq!(config.entry_names.zones, ["langnau", "thun"]);
     assert_eq!(config.entry_names.kinds, ["w5", "w7"]);
-    assert_eq!(config.worker_connections.connect, Duration::from_millis(200));
-    assert_eq!(config.worker_connections.idle, Duration::from_secs(9));
-    assert_eq!(config.worker_connections.grace, Duration::from_millis(700));
+    assert_eq!(config.worker_connections.connect_timeout, Duration::from_millis(200));
+    assert_eq!(config.worker_connections.idle_timeout, Duration::from_secs(9));
+    assert_eq!(config.worker_connections.drain_grace, Duration::from_millis(700));
 }
 
 #[test]
 fn every_key_of_the_known_list_is_read() {
-    let known = decode(EVERY_KEY).known;
+    let known = decode(EVERY_KEY).initial_endpoints;
     assert_eq!((known.index, known.snapshot), (41, true));
     assert!(known.skipped.is_empty());
     let memberships: Vec<(&str, WorkerStatus)> =
@@ -96,7 +96,7 @@
 #[test]
 fn the_example_is_read() {
     let config = decode(repository_file("examples/config.json").as_bytes());
-    assert_eq!((config.name.as_str(), config.sockets), ("n0", 1024));
+    assert_eq!((config.name.as_str(), config.max_descriptors), ("n0", 1024));
     assert_eq!(
         config.settings.classes[0].idempotency,
         Idempotency::IdempotentWithKey(DeduplicationScope::Cell)
