--- a/crates/daemon/src/acceptor.rs
+++ b/crates/daemon/src/acceptor.rs
@@ -1,5 +1,5 @@
-//! Accepts clients and divides the connection slots among them: which connection is shed when slots run short, what a client
-//! is answered that makes no progress, and how a connection is closed.
+//! Accepts clients and divides the connection slots among them. Decides which connection is shed when slots
+//! run short, answers clients that make no progress, and closes connections.
 
 use std::collections::HashMap;
 use std::future::poll_fn;
@@ -22,7 +22,7 @@
 use tokio::time::{sleep_until, timeout};
 use tracing::{debug, warn};
 
-use crate::client_connection::{ClientConnection, IDLE_RANK, LAST_HEAD};
+use crate::client_connection::{ClientConnection, FINAL_HEAD_TIMEOUT, IDLE_RANK};
 use crate::counters::SharedCounters;
 use crate::early_rejection::EarlyRejection;
 use crate::job_handler::JobHandler;
@@ -33,15 +33,15 @@
 use crate::violations;
 use crate::DescriptorBudget;
 
-/// How long accepting pauses after it failed; descriptors come free meanwhile.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// The share (1/n) of the slots that may stay idle. Clients have a limited number of connections, and some open one for each
-/// request and leave it idle: with more of them idle they could open no others.
-const IDLE_PART: usize = 4;
-/// Closed with input unread, a connection is reset, and the client may lose the answer that it has not read: so many bytes
-/// are still read.
+/// The pause after a failed accept, in which descriptors may be released.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// At most this part (1/n) of the slots may stay idle. Clients have a limited number of connections, and some
+/// open one for each request and leave it idle: if more of them were idle, such clients could open no others.
+const IDLE_SLOTS_DIVISOR: usize = 4;
+/// The number of bytes that are read before a close. A connection that is closed with unread input is reset,
+/// and the client may lose a response that it has not read yet.
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
-/// For how long they are read.
+/// The time for which those bytes are read.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
 const TOO_SLOW: EarlyRejection =
@@ -49,11 +49,12 @@
 const TOO_MANY_CONNECTIONS: EarlyRejection =
     EarlyRejection::new(StatusCode::SERVICE_UNAVAILABLE, "too many connections");
 
-/// The slots for connections of clients.
+/// The slots for client connections.
 struct ConnectionSlots {
+    /// The number of connections that are not being closed.
     max: usize,
-    /// The number of connections beyond `max`, while those that have been shed for them are closing.
-    spare: usize,
+    /// The number of connections beyond `max` that may be open while shed connections are closing.
+    max_closing: usize,
     counters: SharedCounters,
     occupied: Mutex<OccupiedSlots>,
     freed: Notify,
@@ -61,11 +62,11 @@
 
 #[derive(Default)]
 struct OccupiedSlots {
-    next: u64,
+    next_number: u64,
     connections: HashMap<u64, Arc<ClientConnection>>,
 }
 
-/// A slot that is in use; dropping it frees the slot.
+/// A slot that is in use. Dropping it frees the slot.
 struct ConnectionSlot {
     slots: Arc<ConnectionSlots>,
     number: u64,
@@ -83,15 +84,16 @@
         self.occupied.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn crowded(&self) -> bool {
-        self.occupied().connections.len() >= self.max + self.spare
+    fn is_full(&self) -> bool {
+        self.occupied().connections.len() >= self.max + self.max_closing
     }
 
-    /// Takes a slot for a new connection, for which another may be shed; `None` if all are in use.
-    fn take(self: &Arc<Self>, client_connection: &Arc<ClientConnection>) -> Option<ConnectionSlot> {
+    /// Acquires a slot for a new connection, for which another connection may be shed; `None` if all are in
+    /// use.
+    fn acquire(self: &Arc<Self>, client_connection: &Arc<ClientConnection>) -> Option<ConnectionSlot> {
         let mut occupied = self.occupied();
-        if occupied.connections.len() >= self.max + self.spare {
-            // None is shed for a connection that gets no slot.
+        if occupied.connections.len() >= self.max + self.max_closing {
+            // No connection is shed for one that gets no slot.
             return None;
         }
         let idle = occupied
@@ -99,68 +101,71 @@
             .values()
             .filter_map(|client_connection| Some((client_connection.eviction_rank()?, client_connection)));
         let idle: Vec<_> = idle.filter(|((rank, _), _)| *rank == IDLE_RANK).collect();
-        if idle.len() > self.max / IDLE_PART {
-            idle.iter().min_by_key(|(rank, _)| *rank)?.1.request_end();
+        if idle.len() > self.max / IDLE_SLOTS_DIVISOR {
+            idle.iter().min_by_key(|(rank, _)| *rank)?.1.shed();
             self.counters.shed.add();
         }
-        let staying =
+        let remaining =
             occupied.connections.values().filter(|client_connection| !client_connection.is_shed()).count();
-        if staying >= self.max {
+        if remaining >= self.max {
             let ranked = occupied.connections.values().filter_map(|client_connection| {
                 Some((client_connection.eviction_rank()?, client_connection))
             });
-            ranked.min_by_key(|(rank, _)| *rank)?.1.request_end();
+            ranked.min_by_key(|(rank, _)| *rank)?.1.shed();
             self.counters.shed.add();
         }
-        let number = occupied.next;
-        occupied.next += 1;
+        let number = occupied.next_number;
+        occupied.next_number += 1;
         occupied.connections.insert(number, client_connection.clone());
         Some(ConnectionSlot { slots: self.clone(), number })
     }
 
-    async fn empty(&self) {
+    async fn wait_until_empty(&self) {
         while !self.occupied().connections.is_empty() {
             self.freed.notified().await;
         }
     }
 }
 
-/// Accepts client connections until the shutdown closes the listener; returns when all connections have ended.
+/// Accepts client connections until the shutdown closes the listener; returns when all connections have
+/// ended.
 pub async fn serve(listener: TcpListener, handler: JobHandler, descriptors: DescriptorBudget) {
     let slots = Arc::new(ConnectionSlots {
         max: descriptors.clients,
-        spare: descriptors.closing_clients,
+        max_closing: descriptors.closing_clients,
         counters: handler.counters.clone(),
         occupied: Mutex::default(),
         freed: Notify::new(),
     });
-    let mut shortages = Throttle::default();
-    // Not by `select` alone: clients that come without a break, or an accept that always fails, would hide the close.
+    let mut shortage_throttle = Throttle::default();
+    // `select` alone would not suffice: it prefers a ready accept, so that a steady stream of clients, or an
+    // accept that always fails, would hide the close.
     while !handler.shutdown.is_closing() {
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
-            () = handler.shutdown.closing() => break,
+            () = handler.shutdown.wait_for_closing() => break,
         };
         match accepted {
             Ok((stream, _)) => admit(stream, &handler, &slots).await,
             Err(error) => {
                 handler.counters.accept_errors.add();
-                if !concerns_one_client(&error) {
-                    pause_accepting(&error, &mut shortages, &handler.shutdown).await;
+                if !affects_single_connection(&error) {
+                    pause_accepting(&error, &mut shortage_throttle, &handler.shutdown).await;
                 }
             }
         }
     }
-    empty_backlog(listener, &handler, &slots).await;
-    slots.empty().await;
+    drain_backlog(listener, &handler, &slots).await;
+    slots.wait_until_empty().await;
 }
 
-/// Whether accept has failed for the client that it was to take, or for a signal: the next may well be taken.
-fn concerns_one_client(error: &io::Error) -> bool {
+/// Returns whether accept failed because of the one client that it was to accept, or because of a signal. The
+/// next accept may succeed at once.
+fn affects_single_connection(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionAborted, ConnectionReset, Interrupted, TimedOut};
-    // Linux passes errors that are pending on the new connection on; its manual page names these.
-    const PASSED_ON: [i32; 9] = [
+    // Linux returns errors that are pending on the new connection from accept; accept(2) lists these.
+    const PENDING_CONNECTION_ERRORS: [i32; 9] = [
         libc::ENETDOWN,
         libc::EPROTO,
         libc::ENOPROTOOPT,
@@ -172,25 +177,27 @@
         libc::EPERM,
     ];
     matches!(error.kind(), ConnectionAborted | ConnectionReset | Interrupted | TimedOut)
-        || error.raw_os_error().is_some_and(|errno| PASSED_ON.contains(&errno))
+        || error.raw_os_error().is_some_and(|errno| PENDING_CONNECTION_ERRORS.contains(&errno))
 }
 
-/// Descriptors or memory are short: tried again and again, accept would keep the processor from what frees them.
-async fn pause_accepting(error: &io::Error, shortages: &mut Throttle, shutdown: &Shutdown) {
-    if let Some(left_out) = shortages.write(Instant::now()) {
+/// Pauses accepting while descriptors or memory are short. Retrying without a pause would take the processor
+/// from the tasks that free them.
+async fn pause_accepting(error: &io::Error, shortage_throttle: &mut Throttle, shutdown: &Shutdown) {
+    if let Some(left_out) = shortage_throttle.write(Instant::now()) {
         warn!(%error, left_out, "accept failed");
     }
     tokio::select! {
-        () = tokio::time::sleep(ACCEPT_PAUSE) => {}
-        () = shutdown.closing() => {}
+        () = tokio::time::sleep(ACCEPT_RETRY_DELAY) => {}
+        () = shutdown.wait_for_closing() => {}
     }
 }
 
-/// Takes what has come before the door closes: closing the listener would reset it. No more than the backlog holds, and
-/// where descriptors are short, for no longer than a head may take.
-async fn empty_backlog(listener: TcpListener, handler: &JobHandler, slots: &Arc<ConnectionSlots>) {
+/// Accepts the connections that are still in the backlog, because closing the listener would reset them.
+/// Accepts at most as many as the backlog holds, and if descriptors are short, retries for at most
+/// [`FINAL_HEAD_TIMEOUT`].
+async fn drain_backlog(listener: TcpListener, handler: &JobHandler, slots: &Arc<ConnectionSlots>) {
     let Ok(listener) = listener.into_std() else { return };
-    let until = Instant::now() + LAST_HEAD;
+    let retry_deadline = Instant::now() + FINAL_HEAD_TIMEOUT;
     for _ in 0..BACKLOG {
         match listener.accept() {
             Ok((stream, _)) => {
@@ -198,25 +205,25 @@
                     admit(stream, handler, slots).await;
                 }
             }
-            Err(error) if concerns_one_client(&error) => {}
-            Err(error) if is_shortage(&error) && Instant::now() < until => {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+            Err(error) if affects_single_connection(&error) => {}
+            Err(error) if is_shortage(&error) && Instant::now() < retry_deadline => {
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
             Err(_) => return,
         }
     }
 }
 
-/// Finds a slot for a new client, or rejects it.
+/// Starts serving a new client if a slot is available, and rejects it otherwise.
 async fn admit(stream: TcpStream, handler: &JobHandler, slots: &Arc<ConnectionSlots>) {
     handler.counters.accepted.add();
     let _ = stream.set_nodelay(true);
     let client_connection = ClientConnection::new();
-    if slots.crowded() {
-        // Those that have been shed get to close first.
+    if slots.is_full() {
+        // Lets the connections that have been shed close first.
         tokio::task::yield_now().await;
     }
-    match slots.take(&client_connection) {
+    match slots.acquire(&client_connection) {
         Some(slot) => drop(tokio::spawn(serve_connection(
             stream,
             JobHandler { client_connection, ..handler.clone() },
@@ -225,27 +232,28 @@
         None => {
             handler.counters.turned_away.add();
             reject_connection(stream);
-            // What is under way goes before those that come again at once.
+            // Lets requests in flight proceed before rejected clients that reconnect at once.
             tokio::task::yield_now().await;
         }
     }
 }
 
-/// Answers a client that there is no slot for it, and closes the connection.
+/// Answers a client that no slot is available for it, and closes the connection.
 fn reject_connection(stream: TcpStream) {
-    // Not by its readiness: of a connection that was accepted just now nothing is known yet.
+    // Calls the non-blocking socket itself: the runtime does not know yet whether a new connection is ready.
     let Ok(mut stream) = stream.into_std() else { return };
-    // All of it: a request that is read below and answered in part would be lost.
+    // Gives up unless the whole response is written: a request that is read below and answered in part would
+    // be lost.
     if stream.write_all(&TOO_MANY_CONNECTIONS.to_bytes()).is_err() {
         return;
     }
-    // Closed over its unread request, the connection is reset, and the answer may go with it.
-    let mut left = MAX_HEAD_BYTES + MAX_BODY_BYTES as usize;
-    let mut space = [0; 8 << 10];
-    while left > 0 {
-        match stream.read(&mut space) {
+    // Closing the connection with an unread request would reset it, and the response might be lost.
+    let mut remaining_bytes = MAX_HEAD_BYTES + MAX_BODY_BYTES as usize;
+    let mut chunk = [0; 8 << 10];
+    while remaining_bytes > 0 {
+        match stream.read(&mut chunk) {
             Ok(0) => return,
-            Ok(n) => left = left.saturating_sub(n),
+            Ok(n) => remaining_bytes = remaining_bytes.saturating_sub(n),
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(_) => return,
         }
@@ -255,22 +263,22 @@
 /// Why a client's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CloseReason {
-    /// The client has closed it, or it broke.
+    /// The client closed the connection, or it failed.
     ClientLeft,
-    /// It was to end with its last answer.
+    /// The connection was to end after its last response.
     LastAnswer,
-    /// The client took too long over a request or an answer, or had nothing to ask for too long.
+    /// The client took too long to send a request or to read a response, or was idle for too long.
     TooSlow,
     /// Another client needed its slot.
     Shed,
-    /// The program ends.
+    /// The scheduler is shutting down.
     Ending,
 }
 
 type HttpConnection = http1::Connection<TokioIo<ClientStream>, TowerToHyperService<JobHandler>>;
 
-/// Serves one client connection until it is closed. The task that runs it is owned by the connection's slot: the acceptor
-/// returns when all slots are free.
+/// Serves one client connection until it is closed. The task that runs it is owned by the connection's slot:
+/// the acceptor returns when all slots are free.
 async fn serve_connection(stream: TcpStream, handler: JobHandler, slot: ConnectionSlot) {
     let (shutdown, counters) = (handler.shutdown.clone(), handler.counters.clone());
     let client_connection = handler.client_connection.clone();
@@ -280,40 +288,42 @@
         .max_buf_size(MAX_HEAD_BYTES)
         .header_read_timeout(None)
         .serve_connection(TokioIo::new(client_stream.clone()), TowerToHyperService::new(handler));
-    // Lives until the function returns: dropped earlier, it would leave its notification to the select below.
+    // Lives until the function returns: if it were dropped earlier, it would pass its notification to the
+    // select below.
     let mut end_requested = pin!(async {
         tokio::select! {
-            () = client_connection.shed.notified() => {}
-            () = shutdown.closing() => {}
+            () = client_connection.shed_notify.notified() => {}
+            () = shutdown.wait_for_closing() => {}
         }
     });
     let reason = drive(&mut connection, &client_stream, &client_connection, end_requested.as_mut()).await;
     check_close(&client_connection, reason, &counters);
-    // Dropping it cancels the job that it was serving.
+    // Dropping the connection cancels the job that it was serving.
     drop(connection);
     // A connection that is shed while its input is discarded closes at once.
     tokio::select! {
         _ = timeout(DISCARD_TIMEOUT, close(client_stream, &client_connection, reason, &counters)) => {}
-        () = client_connection.shed.notified() => {}
+        () = client_connection.shed_notify.notified() => {}
     }
     drop(slot);
 }
 
-/// Drives a connection until it ends by itself, its client takes too long over a request or stays away, or it is to end for
-/// another client or a shutdown. Then an idle one ends at once, which the protocol allows, and a busy one after its answer.
+/// Drives a connection until it ends by itself, its client exceeds a timeout or disconnects, or it is to end
+/// because it is shed or the scheduler shuts down. In the last case an idle connection ends at once, which
+/// HTTP allows, and a busy one after its response.
 async fn drive(
     connection: &mut HttpConnection,
     client_stream: &ClientStream,
     client_connection: &ClientConnection,
     mut end_requested: Pin<&mut impl Future<Output = ()>>,
 ) -> CloseReason {
-    let (mut end_requested_at, mut closing) = (None, false);
+    let (mut end_requested_at, mut is_closing) = (None, false);
     let mut timer = pin!(sleep_until(Instant::now().into()));
     poll_fn(|cx| {
         if let Poll::Ready(ended) = connection.poll_without_shutdown(cx) {
             return Poll::Ready(match ended {
                 Err(error) => {
-                    debug!(client = client_connection.number, %error, "client connection broke");
+                    debug!(client = client_connection.number, %error, "client connection failed");
                     CloseReason::ClientLeft
                 }
                 Ok(()) if client_stream.has_ended() => CloseReason::ClientLeft,
@@ -321,7 +331,7 @@
                 Ok(()) => CloseReason::LastAnswer,
             });
         }
-        if client_stream.poll_gone(cx).is_ready() {
+        if client_stream.poll_disconnected(cx).is_ready() {
             return Poll::Ready(CloseReason::ClientLeft);
         }
         if end_requested_at.is_none() && end_requested.as_mut().poll(cx).is_ready() {
@@ -330,15 +340,15 @@
         if client_connection.is_shed() && client_connection.is_idle() {
             return Poll::Ready(CloseReason::Shed);
         }
-        // hyper has not seen a partial head and takes the connection for idle.
-        if end_requested_at.is_some() && !closing && !client_connection.has_partial_request() {
-            closing = true;
+        // hyper has not received a partial head and would consider the connection idle.
+        if end_requested_at.is_some() && !is_closing && !client_connection.has_partial_request() {
+            is_closing = true;
             Pin::new(&mut *connection).graceful_shutdown();
             cx.waker().wake_by_ref();
         }
-        let Some(due) = client_connection.deadline(end_requested_at) else { return Poll::Pending };
-        if timer.deadline() != due.into() {
-            timer.as_mut().reset(due.into());
+        let Some(deadline) = client_connection.deadline(end_requested_at) else { return Poll::Pending };
+        if timer.deadline() != deadline.into() {
+            timer.as_mut().reset(deadline.into());
         }
         timer.as_mut().poll(cx).map(|()| CloseReason::TooSlow)
     })
@@ -347,31 +357,32 @@
 
 /// Checks that a connection may be closed, and reports a violation if it may not.
 fn check_close(client_connection: &ClientConnection, reason: CloseReason, counters: &SharedCounters) {
-    let request = client_connection.request();
+    let request_id = client_connection.request_id();
     let facts = CloseFacts {
-        has_unanswered_request: client_connection.is_busy(),
-        // It is answered when the connection is closed.
+        has_unanswered_request: client_connection.has_active_call(),
+        // A partial request is answered when the connection is closed.
         has_partial_request: false,
-        // A client that does not read has had its time.
+        // Counts only for a shed connection: otherwise the client has used up its time to read the response.
         has_unwritten_response: client_connection.has_unwritten_response() && reason == CloseReason::Shed,
         client_disconnected: reason == CloseReason::ClientLeft,
     };
-    debug!(client = client_connection.number, ?reason, unanswered = ?request, "client closed");
+    debug!(client = client_connection.number, ?reason, unanswered = ?request_id, "client closed");
     if let Err(denial) = permits::check_close(facts) {
-        let request = request.unwrap_or(HeaderValue::from_static("none"));
-        violations::report(counters, Operation::Close, denial, &request);
+        let request_id = request_id.unwrap_or(HeaderValue::from_static("none"));
+        violations::report(counters, Operation::Close, denial, &request_id);
     }
 }
 
-/// Answers a request that was not read completely, and closes the stream. Input that comes meanwhile is discarded.
+/// Answers a request that was not read completely, and closes the stream. Discards input that arrives
+/// meanwhile.
 async fn close(
     mut client_stream: ClientStream,
     client_connection: &ClientConnection,
     reason: CloseReason,
     counters: &SharedCounters,
 ) -> io::Result<()> {
-    let is_late = matches!(reason, CloseReason::Shed | CloseReason::TooSlow);
-    let rejection = match (is_late, client_connection.has_partial_request()) {
+    let is_closed_early = matches!(reason, CloseReason::Shed | CloseReason::TooSlow);
+    let rejection = match (is_closed_early, client_connection.has_partial_request()) {
         (true, true) if client_connection.is_shed() => Some(TOO_MANY_CONNECTIONS),
         (true, true) => Some(TOO_SLOW),
         _ => client_connection.rejection(),
@@ -384,11 +395,11 @@
     }
     client_stream.shutdown().await?;
     // Another client waits for the slot of a connection that is shed.
-    let mut left = if client_connection.is_shed() { 0 } else { MAX_DISCARDED_BYTES };
-    while left > 0 {
+    let mut remaining_bytes = if client_connection.is_shed() { 0 } else { MAX_DISCARDED_BYTES };
+    while remaining_bytes > 0 {
         match poll_fn(|cx| client_stream.poll_discard(cx)).await? {
             0 => break,
-            discarded => left = left.saturating_sub(discarded),
+            discarded => remaining_bytes = remaining_bytes.saturating_sub(discarded),
         }
     }
     Ok(())
--- a/crates/daemon/src/client_connection.rs
+++ b/crates/daemon/src/client_connection.rs
@@ -10,22 +10,22 @@
 
 use crate::early_rejection::EarlyRejection;
 
-/// How long a client may take over a request, from its first byte or, for the first request, from connecting: a client that
-/// does not make progress must get an error or a close within 3 s of connecting.
-pub const WHOLE: Duration = Duration::from_millis(2500);
-/// How long a connection may be idle between requests.
-const IDLE: Duration = Duration::from_secs(75);
-/// How long a new connection has for its first request before it counts as one that brings none.
-const NEW: Duration = Duration::from_millis(100);
-/// The rank of connections that have brought a job and are idle.
+/// The time within which a request must be complete, from its first byte or, for the first request, from
+/// connecting. A client that makes no progress must receive an error or a close within 3 s of connecting.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
+/// The time that a connection may be idle between requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
+/// The time that a new connection has for its first request before it is shed ahead of the other connections.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(100);
+/// The eviction rank of idle connections that have submitted a job.
 pub const IDLE_RANK: u8 = 1;
-/// How long the rest of a head may take to come on a connection that is to end.
-pub const LAST_HEAD: Duration = Duration::from_millis(200);
-/// How long a client may take to read an answer with which its connection is to end: from the close of the listener to the
-/// end of a graceful shutdown.
-const TAKING: Duration = Duration::from_millis(700);
-/// How long hyper may take to finish after the last answer.
-const CLOSING: Duration = Duration::from_millis(200);
+/// The time within which the rest of a head must arrive on a connection that is to end.
+pub const FINAL_HEAD_TIMEOUT: Duration = Duration::from_millis(200);
+/// The time that a client has to read the last response on its connection. It equals the time from the close
+/// of the listener to the end of a graceful shutdown.
+const FINAL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
+/// The time within which hyper must finish the connection after the last response.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Checks a client's socket for its disconnection.
 pub(crate) trait DisconnectCheck: Send + Sync {
@@ -35,86 +35,87 @@
 
 /// The state of one client's connection, shared by its stream, its request handler and the acceptor.
 pub struct ClientConnection {
-    /// The number of the connection, for logs.
+    /// The number that identifies the connection in logs.
     pub number: u64,
-    began: Instant,
+    accepted_at: Instant,
     disconnect_check: OnceLock<Weak<dyn DisconnectCheck>>,
     state: Mutex<ConnectionState>,
-    /// Notified when the connection is to end for another client.
-    pub shed: Notify,
+    /// Is notified when the connection is shed.
+    pub shed_notify: Notify,
 }
 
 pub(crate) struct ConnectionState {
-    /// Since when a request has been coming in that is not complete yet.
-    pub(crate) reading: Option<Instant>,
-    /// A byte of that request has come.
-    pub(crate) begun: bool,
-    /// A call of the service is under way.
-    pub(crate) busy: bool,
-    /// All of a request has come that has no answer yet.
-    pub(crate) passed: bool,
-    /// Part of an answer is not written yet, because the client does not read.
-    pub(crate) stuck: bool,
-    /// Wakes the stream's reader once there is an answer.
-    pub(crate) reader: Option<Waker>,
+    /// When the request began that has not arrived completely yet. On a new connection, when it was accepted.
+    pub(crate) request_started_at: Option<Instant>,
+    /// Whether a byte of that request has arrived.
+    pub(crate) has_request_bytes: bool,
+    /// Whether a call of the service is in flight.
+    pub(crate) has_active_call: bool,
+    /// Whether a request has arrived completely that has no response yet.
+    pub(crate) has_complete_request: bool,
+    /// Whether part of a response is not written yet because the client does not read.
+    pub(crate) has_unwritten_response: bool,
+    /// Wakes the reader of the stream when the call of the service ends.
+    pub(crate) reader_waker: Option<Waker>,
     /// When the connection was last in use.
     pub(crate) idle_since: Instant,
-    /// The connection has brought a request.
-    asked: bool,
-    /// The connection has brought a job.
-    proven: bool,
-    /// The connection is to end for another client.
-    shedding: bool,
-    /// Nothing behind the present request is read.
-    pub(crate) last: bool,
-    /// Why the present request is rejected by its bytes.
+    /// Whether a request has been received on the connection.
+    has_received_request: bool,
+    /// Whether a job has been received on the connection.
+    has_received_job: bool,
+    /// Whether the connection is to end because another client needs its slot.
+    is_shed: bool,
+    /// Whether the connection closes after the current request, so that nothing after it is read.
+    pub(crate) closes_after_request: bool,
+    /// Why the current request is rejected before hyper parses it.
     pub(crate) rejection: Option<EarlyRejection>,
     /// The id of the request that is being served.
-    request: Option<HeaderValue>,
+    request_id: Option<HeaderValue>,
 }
 
 impl ClientConnection {
-    /// Creates the state of a connection that was accepted now.
+    /// Creates the state of a connection that has just been accepted.
     pub fn new() -> Arc<ClientConnection> {
-        let began = Instant::now();
+        let accepted_at = Instant::now();
         let state = ConnectionState {
-            reading: Some(began),
-            begun: false,
-            busy: false,
-            passed: false,
-            stuck: false,
-            reader: None,
-            idle_since: began,
-            asked: false,
-            proven: false,
-            shedding: false,
-            last: false,
+            request_started_at: Some(accepted_at),
+            has_request_bytes: false,
+            has_active_call: false,
+            has_complete_request: false,
+            has_unwritten_response: false,
+            reader_waker: None,
+            idle_since: accepted_at,
+            has_received_request: false,
+            has_received_job: false,
+            is_shed: false,
+            closes_after_request: false,
             rejection: None,
-            request: None,
+            request_id: None,
         };
-        static NUMBERS: AtomicU64 = AtomicU64::new(0);
-        let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
+        static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let state = Mutex::new(state);
         Arc::new(ClientConnection {
             number,
-            began,
+            accepted_at,
             disconnect_check: OnceLock::new(),
             state,
-            shed: Notify::new(),
+            shed_notify: Notify::new(),
         })
     }
 
-    /// Sets how the socket is checked for the client's disconnection. Only the first call counts.
+    /// Sets the check of the socket for the client's disconnection. Only the first call has an effect.
     pub(crate) fn set_disconnect_check(&self, check: Weak<dyn DisconnectCheck>) {
         let _ = self.disconnect_check.set(check);
     }
 
-    /// Checks at the socket whether the client has disconnected: what has arrived since the last poll nobody knows yet.
+    /// Checks the socket for the client's disconnection: the runtime has not yet reported what has arrived
+    /// since the last poll.
     pub fn has_disconnected(&self) -> bool {
         let Some(check) = self.disconnect_check.get() else { return false };
         match check.upgrade() {
             Some(check) => check.has_disconnected(),
-            // The stream is closed.
+            // The stream has been dropped.
             None => true,
         }
     }
@@ -123,123 +124,129 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins a call of the service; it is under way until the returned value is dropped.
+    /// Begins a call of the service, which is in flight until the returned value is dropped.
     pub fn begin_call(self: &Arc<Self>) -> ActiveCall {
         let mut state = self.state();
-        (state.busy, state.asked) = (true, true);
+        (state.has_active_call, state.has_received_request) = (true, true);
         drop(state);
         ActiveCall(self.clone())
     }
 
-    /// Notes that the present request is a job with this id, which is being submitted.
-    pub fn begin_job(&self, request: &HeaderValue) {
+    /// Records that the current request is a job with this id, which is being submitted.
+    pub fn begin_job(&self, request_id: &HeaderValue) {
         let mut state = self.state();
-        (state.proven, state.passed) = (true, true);
-        state.request = Some(request.clone());
+        (state.has_received_job, state.has_complete_request) = (true, true);
+        state.request_id = Some(request_id.clone());
     }
 
     /// Returns the id of the request that is being served.
-    pub fn request(&self) -> Option<HeaderValue> {
-        self.state().request.clone()
+    pub fn request_id(&self) -> Option<HeaderValue> {
+        self.state().request_id.clone()
     }
 
-    /// Returns whether part of an answer is not written yet.
+    /// Returns whether part of a response is not written yet.
     pub fn has_unwritten_response(&self) -> bool {
-        self.state().stuck
+        self.state().has_unwritten_response
     }
 
-    /// Returns whether a call of the service is under way.
-    pub fn is_busy(&self) -> bool {
-        self.state().busy
+    /// Returns whether a call of the service is in flight.
+    pub fn has_active_call(&self) -> bool {
+        self.state().has_active_call
     }
 
-    /// Returns whether no call is under way and the last answer is written.
+    /// Returns whether no call is in flight and the last response is written.
     pub fn is_idle(&self) -> bool {
         let state = self.state();
-        !state.busy && !state.stuck
+        !state.has_active_call && !state.has_unwritten_response
     }
 
-    /// Returns whether all of the present request has come.
+    /// Returns whether the current request has arrived completely.
     pub fn is_request_complete(&self) -> bool {
-        self.state().reading.is_none()
+        self.state().request_started_at.is_none()
     }
 
-    /// Returns whether part of a request has come for which no call is under way.
+    /// Returns whether part of a request has arrived for which no call is in flight.
     pub fn has_partial_request(&self) -> bool {
         let state = self.state();
-        !state.busy && state.reading.is_some() && state.begun
+        !state.has_active_call && state.request_started_at.is_some() && state.has_request_bytes
     }
 
-    /// Notes that the present request is answered, and returns whether the connection must end with the answer.
+    /// Records that the current request is answered, and returns whether the connection must close after the
+    /// response.
     pub fn finish_request(&self) -> bool {
         let mut state = self.state();
-        state.last |= state.reading.is_some();
-        (state.reading, state.begun) = (None, false);
-        state.last
+        state.closes_after_request |= state.request_started_at.is_some();
+        (state.request_started_at, state.has_request_bytes) = (None, false);
+        state.closes_after_request
     }
 
-    /// Returns why the present request is rejected by its bytes, if it is.
+    /// Returns why the current request is rejected before hyper parses it, if it is.
     pub fn rejection(&self) -> Option<EarlyRejection> {
         self.state().rejection
     }
 
     /// Returns when the present request must be complete.
     pub fn request_deadline(&self) -> Instant {
-        self.state().reading.unwrap_or(self.began) + WHOLE
+        self.state().request_started_at.unwrap_or(self.accepted_at) + REQUEST_TIMEOUT
     }
 
-    /// Returns when the client will have taken too long; `None` while the program is the one to act. `end_requested_at` is
-    /// the time since which the connection is to end.
+    /// Returns when the client exceeds its time; `None` while the scheduler works on the client's request.
+    /// `end_requested_at` is the time at which the connection was asked to end, if it was.
     pub fn deadline(&self, end_requested_at: Option<Instant>) -> Option<Instant> {
         let state = self.state();
-        if state.busy {
+        if state.has_active_call {
             return None;
         }
-        if state.stuck {
-            let taken =
-                |end_requested_at: Instant| (end_requested_at + TAKING).max(state.idle_since + CLOSING);
-            return Some(end_requested_at.map_or(state.idle_since + IDLE, taken));
+        if state.has_unwritten_response {
+            let read_deadline = |end_requested_at: Instant| {
+                (end_requested_at + FINAL_RESPONSE_TIMEOUT).max(state.idle_since + CLOSE_TIMEOUT)
+            };
+            return Some(end_requested_at.map_or(state.idle_since + IDLE_TIMEOUT, read_deadline));
         }
-        let from_idle = state.idle_since + if state.last { CLOSING } else { IDLE };
-        let due = state.reading.map_or(from_idle, |since| since + WHOLE);
-        Some(end_requested_at.map_or(due, |end_requested_at| due.min(end_requested_at + LAST_HEAD)))
-    }
-
-    /// Returns the order in which connections are shed, the lowest first: those that never brought a job, then those that
-    /// have been idle longest, and last new ones, whose first request may be on its way and would be lost; clients retry a
-    /// later request that crosses the close. `None` while a call is under way, its answer is not written, or the connection
-    /// is being shed already.
+        let idle_deadline =
+            state.idle_since + if state.closes_after_request { CLOSE_TIMEOUT } else { IDLE_TIMEOUT };
+        let request_deadline =
+            state.request_started_at.map_or(idle_deadline, |since| since + REQUEST_TIMEOUT);
+        Some(end_requested_at.map_or(request_deadline, |end_requested_at| {
+            request_deadline.min(end_requested_at + FINAL_HEAD_TIMEOUT)
+        }))
+    }
+
+    /// Returns the rank by which connections are shed, the lowest first: connections that never submitted a
+    /// job, then those that have been idle longest, and last new ones, whose first request may be in transit
+    /// and would be lost. Clients retry a later request that crosses the close. Returns `None` while a call
+    /// is in flight or its response is not written, and when the connection is already shed.
     pub fn eviction_rank(&self) -> Option<(u8, Instant)> {
         let state = self.state();
-        let new = !state.asked && self.began.elapsed() < NEW;
-        let rank = match state.proven {
+        let is_new = !state.has_received_request && self.accepted_at.elapsed() < FIRST_REQUEST_GRACE;
+        let rank = match state.has_received_job {
             true => (IDLE_RANK, state.idle_since),
-            false => (if new { 2 } else { 0 }, self.began),
+            false => (if is_new { 2 } else { 0 }, self.accepted_at),
         };
-        (!state.busy && !state.stuck && !state.shedding).then_some(rank)
+        (!state.has_active_call && !state.has_unwritten_response && !state.is_shed).then_some(rank)
     }
 
-    /// Returns whether the connection is to end for another client.
+    /// Returns whether the connection is to end because another client needs its slot.
     pub fn is_shed(&self) -> bool {
-        self.state().shedding
+        self.state().is_shed
     }
 
-    /// Requests that the connection ends for another client.
-    pub fn request_end(&self) {
-        self.state().shedding = true;
-        self.shed.notify_one();
+    /// Requests that the connection ends because another client needs its slot.
+    pub fn shed(&self) {
+        self.state().is_shed = true;
+        self.shed_notify.notify_one();
     }
 }
 
-/// A call of the service that is under way; dropping it ends the call.
+/// A call of the service that is in flight. Dropping it ends the call.
 pub struct ActiveCall(Arc<ClientConnection>);
 
 impl Drop for ActiveCall {
     fn drop(&mut self) {
         let mut state = self.0.state();
-        (state.busy, state.passed) = (false, false);
-        state.request = None;
+        (state.has_active_call, state.has_complete_request) = (false, false);
+        state.request_id = None;
         state.idle_since = Instant::now();
-        state.reader.take().into_iter().for_each(Waker::wake);
+        state.reader_waker.take().into_iter().for_each(Waker::wake);
     }
 }
--- a/crates/daemon/src/early_rejection.rs
+++ b/crates/daemon/src/early_rejection.rs
@@ -1,23 +1,24 @@
-//! Rejections of requests that hyper never gets to see.
+//! Rejections of requests that are never passed to hyper.
 
 use hyper::StatusCode;
 
-/// Why a request is rejected by its bytes, its slowness or a lack of connections, before it is parsed as HTTP.
+/// The rejection of a request before hyper parses it: its head is invalid, it arrives too slowly, or no
+/// connection slot is available.
 #[derive(Clone, Copy)]
 pub struct EarlyRejection {
     /// The status of the response.
     pub status: StatusCode,
-    /// The text of the response, which names the reason.
+    /// The reason, which is the body of the response.
     pub reason: &'static str,
 }
 
 impl EarlyRejection {
-    /// Creates a rejection with this status and text.
+    /// Creates a rejection with this status and reason.
     pub const fn new(status: StatusCode, reason: &'static str) -> Self {
         EarlyRejection { status, reason }
     }
 
-    /// Returns the complete response on the wire, which announces that the connection is closed.
+    /// Returns the bytes of the complete response, which announces that the connection is closed.
     pub fn to_bytes(self) -> Vec<u8> {
         let EarlyRejection { status, reason } = self;
         let length = reason.len() + "\n".len();
--- a/crates/daemon/src/job_handler.rs
+++ b/crates/daemon/src/job_handler.rs
@@ -1,4 +1,4 @@
-//! The clients' side: the service that accepts jobs over HTTP and gives each its single final answer.
+//! The HTTP service for clients: accepts jobs and returns the single final answer of each.
 
 use std::collections::HashSet;
 use std::convert::Infallible;
@@ -28,8 +28,8 @@
 use crate::shutdown::Shutdown;
 use crate::write_guard::ClientPresence;
 
-/// The longest wait that a client may ask for.
-const LONGEST_WAIT: f64 = 3600.0;
+/// The longest timeout that a client may request (s).
+const MAX_REQUEST_TIMEOUT_S: f64 = 3600.0;
 
 type Reply = Response<Full<Bytes>>;
 
@@ -42,15 +42,15 @@
     pub job_queue: JobQueue<ForwardedRequest>,
     /// The counters of the scheduler.
     pub counters: SharedCounters,
-    /// How far the shutdown has come.
+    /// The stage of the shutdown.
     pub shutdown: Shutdown,
-    /// The ids of all requests that are open here.
-    pub open: OpenRequestIds,
-    /// The connection that it serves.
+    /// The ids of all open requests of this scheduler.
+    pub open_requests: OpenRequestIds,
+    /// The connection that this clone serves.
     pub client_connection: Arc<ClientConnection>,
 }
 
-/// The ids of all open requests; an id is open once at a time.
+/// The ids of all open requests. An id can be open only once at a time.
 #[derive(Clone, Default)]
 pub struct OpenRequestIds(Arc<Mutex<HashSet<HeaderValue>>>);
 
@@ -59,12 +59,13 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens an id until what this gives is dropped; `None` if it is open already.
+    /// Opens an id until the returned value is dropped; `None` if it is already open.
     fn open(&self, id: &HeaderValue) -> Option<OpenRequestId> {
         self.ids().insert(id.clone()).then(|| OpenRequestId(self.clone(), id.clone()))
     }
 }
 
+/// An id that is open. Dropping it closes the id.
 struct OpenRequestId(OpenRequestIds, HeaderValue);
 
 impl Drop for OpenRequestId {
@@ -100,12 +101,12 @@
 /// Why a request is rejected before it becomes a job.
 struct Rejection {
     status: StatusCode,
-    why: String,
+    reason: String,
 }
 
 impl Rejection {
-    fn new(status: StatusCode, why: impl Into<String>) -> Rejection {
-        Rejection { status, why: why.into() }
+    fn new(status: StatusCode, reason: impl Into<String>) -> Rejection {
+        Rejection { status, reason: reason.into() }
     }
 }
 
@@ -113,7 +114,9 @@
     async fn serve(&self, request: Request<Incoming>) -> Reply {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/healthz") => self.health(),
-            (&Method::POST, "/api") => self.job(request).await.unwrap_or_else(|why| self.reject(why)),
+            (&Method::POST, "/api") => {
+                self.submit_job(request).await.unwrap_or_else(|rejection| self.reject(rejection))
+            }
             (_, "/healthz" | "/api") => {
                 self.reject(Rejection::new(StatusCode::METHOD_NOT_ALLOWED, "method not allowed"))
             }
@@ -122,36 +125,43 @@
     }
 
     fn health(&self) -> Reply {
-        if self.job_queue.is_open() && !self.shutdown.begun() {
+        if self.job_queue.is_open() && !self.shutdown.has_begun() {
             reply(StatusCode::OK, "ok\n")
         } else {
             reply(StatusCode::SERVICE_UNAVAILABLE, "not serving\n")
         }
     }
 
-    fn reject(&self, Rejection { status, why }: Rejection) -> Reply {
+    fn reject(&self, Rejection { status, reason }: Rejection) -> Reply {
         self.counters.rejected.add();
-        debug!(client = self.client_connection.number, status = status.as_u16(), why, "rejected");
-        reply(status, why + "\n")
+        debug!(client = self.client_connection.number, status = status.as_u16(), why = reason, "rejected");
+        reply(status, reason + "\n")
     }
 
-    async fn job(&self, request: Request<Incoming>) -> Result<Reply, Rejection> {
-        let came = Instant::now();
+    async fn submit_job(&self, request: Request<Incoming>) -> Result<Reply, Rejection> {
+        let received_at = Instant::now();
         let (parts, body) = request.into_parts();
-        let job = self.read(parts, came).map_err(|why| Rejection::new(StatusCode::BAD_REQUEST, why));
-        // Where the answer is known, a body that is not there yet is not waited for.
+        let job = self
+            .parse_head(parts, received_at)
+            .map_err(|reason| Rejection::new(StatusCode::BAD_REQUEST, reason));
+        // If the head is rejected, a body that has not arrived yet is not awaited.
         let mut job = if self.client_connection.is_request_complete() { job } else { Ok(job?) }?;
-        job.request.body = self.body(body).await?;
-        let id = self.open.open(&job.request.request_id);
-        // A worker could not distinguish the two.
+        job.request.body = self.read_body(body).await?;
+        let id = self.open_requests.open(&job.request.request_id);
+        // A worker could not distinguish two open requests with the same id.
         let _id = id.ok_or(Rejection::new(StatusCode::CONFLICT, "request-id: open already"))?;
-        if permits::check_admission(Instant::now(), self.shutdown.answered_by()).is_err() {
+        if permits::check_admission(Instant::now(), self.shutdown.answer_deadline()).is_err() {
             return Err(Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "ending"));
         }
         let request_id = job.request.request_id.clone();
         self.client_connection.begin_job(&request_id);
         let answer = self.job_queue.submit(job).await;
-        debug!(client = self.client_connection.number, request = ?request_id, answer = answer.name(), "final answer");
+        debug!(
+            client = self.client_connection.number,
+            request = ?request_id,
+            answer = answer.name(),
+            "final answer"
+        );
         Ok(match answer {
             FinalAnswer::Served(result) => reply(StatusCode::OK, result),
             FinalAnswer::Rejected { retry_after } => rejected_reply(retry_after),
@@ -159,21 +169,22 @@
         })
     }
 
-    async fn body(&self, body: Incoming) -> Result<Bytes, Rejection> {
+    async fn read_body(&self, body: Incoming) -> Result<Bytes, Rejection> {
         let too_large = || Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "body over 64 KiB");
-        // Announced as too large, it is not waited for: the client may well wait for the answer.
+        // A body that is announced as too large is not awaited: the client may wait for the response before
+        // sending it.
         if body.size_hint().lower() > MAX_BODY_BYTES {
             return Err(too_large());
         }
-        let whole = Limited::new(body, MAX_BODY_BYTES as usize).collect();
-        let whole = timeout_at(self.client_connection.request_deadline().into(), whole);
-        let whole = tokio::select! {
-            whole = whole => whole,
-            () = self.shutdown.over() => {
+        let complete_body = Limited::new(body, MAX_BODY_BYTES as usize).collect();
+        let complete_body = timeout_at(self.client_connection.request_deadline().into(), complete_body);
+        let complete_body = tokio::select! {
+            complete_body = complete_body => complete_body,
+            () = self.shutdown.wait_for_answer_deadline() => {
                 return Err(Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "ending"));
             }
         };
-        match whole {
+        match complete_body {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(e)) if e.is::<LengthLimitError>() => Err(too_large()),
             Ok(Err(e)) => Err(Rejection::new(StatusCode::BAD_REQUEST, format!("body: {e}"))),
@@ -181,16 +192,20 @@
         }
     }
 
-    /// Reads from the head what the dispatcher needs; the rest is forwarded unchanged.
-    fn read(&self, parts: Parts, came: Instant) -> Result<SubmittedJob<ForwardedRequest>, String> {
+    /// Parses the parts of the head that the dispatcher needs. The rest is forwarded unchanged.
+    fn parse_head(
+        &self,
+        parts: Parts,
+        received_at: Instant,
+    ) -> Result<SubmittedJob<ForwardedRequest>, String> {
         let headers = &parts.headers;
-        let request_id = one(headers, "request-id")?.ok_or("request-id: missing")?.clone();
+        let request_id = single_header(headers, "request-id")?.ok_or("request-id: missing")?.clone();
         if request_id.is_empty() {
             return Err("request-id: empty".to_owned());
         }
-        let class = text(headers, "request-class")?.ok_or("request-class: missing")?;
+        let class = header_text(headers, "request-class")?.ok_or("request-class: missing")?;
         let class = self.names.classes.iter().position(|name| name == class);
-        let tenant = match text(headers, "tenant")? {
+        let tenant = match header_text(headers, "tenant")? {
             Some(tenant) if !self.names.tenants.is_empty() => {
                 let known = self.names.tenants.iter().position(|name| name == tenant);
                 Some(known.ok_or("tenant: unknown")? as u32)
@@ -198,28 +213,30 @@
             None if !self.names.tenants.is_empty() => return Err("tenant: missing".to_owned()),
             _ => None,
         };
-        let wait = text(headers, "request-timeout")?.ok_or("request-timeout: missing")?;
-        let wait = wait.parse::<f64>().ok().filter(|wait| *wait > 0.0 && *wait <= LONGEST_WAIT);
-        let wait = Duration::from_secs_f64(wait.ok_or("request-timeout: must be seconds above 0")?);
-        let extras = RequestInfo::read(text(headers, "request-info")?.unwrap_or_default())?;
+        let timeout = header_text(headers, "request-timeout")?.ok_or("request-timeout: missing")?;
+        let timeout =
+            timeout.parse::<f64>().ok().filter(|timeout| *timeout > 0.0 && *timeout <= MAX_REQUEST_TIMEOUT_S);
+        let timeout = Duration::from_secs_f64(timeout.ok_or("request-timeout: must be seconds above 0")?);
+        let request_info = RequestInfo::parse(header_text(headers, "request-info")?.unwrap_or_default())?;
         let query = parts.uri.query().unwrap_or_default();
         let key = query.split('&').find_map(|pair| pair.strip_prefix("obj="));
-        let passed = [HeaderName::from_static("idempotency-key"), CONTENT_TYPE];
-        let passed = passed.into_iter().filter_map(|name| Some((name.clone(), headers.get(name)?.clone())));
+        let forwarded = [HeaderName::from_static("idempotency-key"), CONTENT_TYPE];
+        let forwarded =
+            forwarded.into_iter().filter_map(|name| Some((name.clone(), headers.get(name)?.clone())));
         Ok(SubmittedJob {
             request_id: request_id.clone(),
             class: class.ok_or("request-class: unknown")? as u32,
             tenant,
-            slots: extras.slots,
-            memory: extras.memory,
+            slots: request_info.slots,
+            memory: request_info.memory,
             key: key.filter(|key| !key.is_empty()).map(|key| fnv1a_hash(key.as_bytes())),
-            is_retry: text(headers, "client-retry")? == Some("1"),
-            deadline: came + wait,
+            is_retry: header_text(headers, "client-retry")? == Some("1"),
+            deadline: received_at + timeout,
             request: ForwardedRequest {
                 method: parts.method,
                 target: parts.uri.path_and_query().cloned().ok_or("no path")?,
                 request_id,
-                headers: passed.collect(),
+                headers: forwarded.collect(),
                 body: Bytes::new(),
                 client: {
                     let client_connection = self.client_connection.clone();
@@ -230,8 +247,8 @@
     }
 }
 
-/// A header that may be missing but must not come twice.
-fn one<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a HeaderValue>, String> {
+/// Returns the value of a header that may be missing but must not be repeated.
+fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a HeaderValue>, String> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
         (_, Some(_)) => Err(format!("{name}: more than once")),
@@ -239,35 +256,37 @@
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, String> {
-    let value = one(headers, name)?;
+/// Returns the text of a header that may be missing but must not be repeated.
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, String> {
+    let value = single_header(headers, name)?;
     value.map(|value| value.to_str().map_err(|_| format!("{name}: not plain text"))).transpose()
 }
 
-/// The resources that a job needs, from its `request-info` header. The names there are not those of the settings.
+/// The resources that a job needs, from its `request-info` header. The header's names differ from those of
+/// the settings.
 struct RequestInfo {
     slots: f64,
     memory: f64,
 }
 
 impl RequestInfo {
-    fn read(info: &str) -> Result<RequestInfo, String> {
-        let mut extras = RequestInfo { slots: 1.0, memory: 0.0 };
+    fn parse(info: &str) -> Result<RequestInfo, String> {
+        let mut request_info = RequestInfo { slots: 1.0, memory: 0.0 };
         for pair in info.split(',').filter(|pair| !pair.trim().is_empty()) {
             let (name, value) = pair.split_once('=').ok_or("request-info: must be name=value")?;
-            let figure = match name.trim() {
-                "slots" => &mut extras.slots,
-                "memory" => &mut extras.memory,
+            let resource = match name.trim() {
+                "slots" => &mut request_info.slots,
+                "memory" => &mut request_info.memory,
                 _ => continue,
             };
             let value = value.trim().parse().ok().filter(|x: &f64| x.is_finite() && *x >= 0.0);
-            *figure = value.ok_or_else(|| format!("request-info: {name}: must be a number from 0 up"))?;
+            *resource = value.ok_or_else(|| format!("request-info: {name}: must be a number from 0 up"))?;
         }
-        Ok(extras)
+        Ok(request_info)
     }
 }
 
-/// Returns the answer that a retry is harmless, best after so long (ns).
+/// Returns the response to a rejected job: a retry is harmless, and should wait for this time (ns).
 fn rejected_reply(retry_after: u64) -> Reply {
     let mut rejection = reply(StatusCode::SERVICE_UNAVAILABLE, "refused, try again later\n");
     let seconds = Duration::from_nanos(retry_after).as_secs_f64();
--- a/crates/daemon/src/json.rs
+++ b/crates/daemon/src/json.rs
@@ -1,15 +1,15 @@
-//! JSON from outside: decoded by tinyjson, and read with errors that name the field.
+//! Decodes JSON from untrusted sources with tinyjson, and reads its fields with errors that name the field.
 
 use std::collections::HashMap;
 
 use thiserror::Error;
 use tinyjson::JsonValue;
 
-/// tinyjson decodes by recursion: a line of some ten thousand brackets would overflow the stack and end the program, which
-/// no handler can prevent.
+/// The largest nesting of brackets. tinyjson decodes by recursion: a line of some ten thousand brackets would
+/// overflow the stack and abort the program, which no handler can prevent.
 const MAX_DEPTH: usize = 32;
-/// Every whole number up to this one (2 to the power of 53) has an exact `f64`.
-const MAX_EXACT_WHOLE: f64 = 9_007_199_254_740_992.0;
+/// Every integer up to this one (2 to the power of 53) has an exact `f64`.
+const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_992.0;
 
 /// Why JSON could not be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -17,23 +17,23 @@
     /// The text is not UTF-8.
     #[error("not UTF-8")]
     NotUtf8,
-    /// Brackets are nested too deep.
+    /// Brackets are nested too deeply.
     #[error("nested deeper than {MAX_DEPTH}")]
     TooDeep,
     /// The text is not JSON.
     #[error("not JSON: {0}")]
     Syntax(String),
-    /// A field does not have the form that is wanted.
+    /// A field does not have the expected form.
     #[error("{path}: {problem}")]
     Field {
         /// The path of the field, with dots and indices.
         path: String,
-        /// What is wrong with it.
+        /// What is wrong with the field.
         problem: String,
     },
 }
 
-/// The nesting of brackets after the bytes so far.
+/// Tracks the nesting of brackets across chunks of JSON text.
 #[derive(Default)]
 pub struct Nesting {
     depth: usize,
@@ -42,7 +42,7 @@
 }
 
 impl Nesting {
-    /// Takes further bytes, and returns whether all brackets are closed after them.
+    /// Scans further bytes, and returns whether all brackets are closed after them.
     ///
     /// # Errors
     ///
@@ -65,18 +65,18 @@
     }
 }
 
-/// Decodes one value.
+/// Decodes one JSON value.
 ///
 /// # Errors
 ///
-/// Returns an error if the bytes are not one JSON value, or one that is nested too deep.
+/// Returns an error if the bytes are not one JSON value, or are nested too deeply.
 pub fn decode(bytes: &[u8]) -> Result<JsonValue, JsonError> {
     let text = std::str::from_utf8(bytes).map_err(|_| JsonError::NotUtf8)?;
     Nesting::default().scan(bytes)?;
     text.parse::<JsonValue>().map_err(|error| JsonError::Syntax(error.to_string()))
 }
 
-/// A value, and the path that leads to it.
+/// A JSON value and its path in the document.
 #[derive(Clone)]
 pub struct Field<'a> {
     path: String,
@@ -84,14 +84,14 @@
 }
 
 impl<'a> Field<'a> {
-    /// Returns the field of the outermost value, whose path is empty.
+    /// Creates the field of the top-level value, whose path is empty.
     pub fn root(value: &'a JsonValue) -> Self {
         Field { path: String::new(), value }
     }
 
-    fn must_be(&self, wanted: &str) -> JsonError {
-        let path = if self.path.is_empty() { "the whole" } else { &self.path };
-        JsonError::Field { path: path.to_owned(), problem: format!("must be {wanted}") }
+    fn must_be(&self, expected: &str) -> JsonError {
+        let path = if self.path.is_empty() { "the document" } else { &self.path };
+        JsonError::Field { path: path.to_owned(), problem: format!("must be {expected}") }
     }
 
     fn object(&self) -> Result<&'a HashMap<String, JsonValue>, JsonError> {
@@ -103,32 +103,32 @@
         format!("{}{dot}{name}", self.path)
     }
 
-    /// Returns a member that may be missing; null equals missing.
+    /// Returns a member that may be missing. A null member counts as missing.
     pub fn optional(&self, name: &str) -> Result<Option<Field<'a>>, JsonError> {
         let path = self.member_path(name);
         let value = self.object()?.get(name).filter(|value| !value.is_null());
         Ok(value.map(|value| Field { path, value }))
     }
 
-    /// Returns a member that must be there.
+    /// Returns a member that must be present.
     pub fn required(&self, name: &str) -> Result<Field<'a>, JsonError> {
         let missing = || JsonError::Field { path: self.member_path(name), problem: "missing".to_owned() };
         self.optional(name)?.ok_or_else(missing)
     }
 
-    /// Returns the items of a list.
+    /// Returns the items of an array.
     pub fn items(&self) -> Result<Vec<Field<'a>>, JsonError> {
-        let items = self.value.get::<Vec<JsonValue>>().ok_or_else(|| self.must_be("a list"))?;
-        let item = |(n, value)| Field { path: format!("{}[{n}]", self.path), value };
+        let items = self.value.get::<Vec<JsonValue>>().ok_or_else(|| self.must_be("an array"))?;
+        let item = |(index, value)| Field { path: format!("{}[{index}]", self.path), value };
         Ok(items.iter().enumerate().map(item).collect())
     }
 
-    /// Returns a text.
+    /// Returns the value of a string.
     pub fn string(&self) -> Result<&'a str, JsonError> {
-        self.value.get::<String>().map(String::as_str).ok_or_else(|| self.must_be("text"))
+        self.value.get::<String>().map(String::as_str).ok_or_else(|| self.must_be("a string"))
     }
 
-    /// Returns a truth value.
+    /// Returns the value of a boolean.
     pub fn boolean(&self) -> Result<bool, JsonError> {
         self.value.get::<bool>().copied().ok_or_else(|| self.must_be("true or false"))
     }
@@ -141,15 +141,15 @@
         }
     }
 
-    /// Returns a whole number that fits the type asked for.
+    /// Returns an integer that fits the requested type.
     pub fn integer<T: TryFrom<u64>>(&self) -> Result<T, JsonError> {
         let number = self.number()?;
-        let is_whole = (0.0..=MAX_EXACT_WHOLE).contains(&number) && number.fract() == 0.0;
-        let fitting = if is_whole { T::try_from(number as u64).ok() } else { None };
-        fitting.ok_or_else(|| self.must_be("a whole number in range"))
+        let is_integer = (0.0..=MAX_EXACT_INTEGER).contains(&number) && number.fract() == 0.0;
+        let converted = if is_integer { T::try_from(number as u64).ok() } else { None };
+        converted.ok_or_else(|| self.must_be("a whole number in range"))
     }
 
-    /// Returns what a text stands for that must be one of the given words.
+    /// Returns the value of a string that must be one of the given words.
     pub fn one_of<T: Copy>(&self, words: &[(&str, T)]) -> Result<T, JsonError> {
         let text = self.string()?;
         if let Some((_, value)) = words.iter().find(|(word, _)| *word == text) {
@@ -159,7 +159,7 @@
         Err(self.must_be(&format!("one of {known}")))
     }
 
-    /// Returns an error that says what is wrong with this field.
+    /// Creates an error about this field.
     pub fn error(&self, problem: &str) -> JsonError {
         JsonError::Field { path: self.path.clone(), problem: problem.to_owned() }
     }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,4 +1,5 @@
-//! The dispatcher as a scheduler on real sockets: the scheduler loop, the parts around it, and how they are connected.
+//! Runs the dispatcher as a scheduler on real sockets: the scheduler loop, the components around it, and
+//! their wiring.
 
 mod acceptor;
 pub mod attempt;
@@ -47,23 +48,24 @@
 use crate::scheduler_loop::{Command, Event, JobQueue, SchedulerLoop};
 use crate::shutdown::Shutdown;
 
-/// The division of the descriptors that the settings allow; no part takes from another.
+/// The division of the descriptors that the settings allow. No part can use the descriptors of another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DescriptorBudget {
-    /// The program's own: the standard streams, the listener, the runtime's, the signals' and the watch, 12 in all;
-    /// at times another watch, a client that is being turned away and a file that is read again. What schedulers need
-    /// that agree on rules comes out of the rest of it.
+    /// Descriptors of the program itself: the standard streams, the listener, the runtime, the signals and
+    /// the watch use 12; at times there are also a second watch, a client that is being turned away and a
+    /// file that is reloaded. The control plane uses the rest.
     pub reserved: usize,
-    /// Client connections that are closing while others have taken their places.
+    /// Client connections that are closing while new connections have taken their slots.
     pub closing_clients: usize,
     /// Connections to workers, for attempts and probes.
     pub workers: usize,
-    /// Connections of clients.
+    /// Client connections that are not being closed.
     pub clients: usize,
 }
 
 impl DescriptorBudget {
-    /// Of fewer than 64 each part gets less; fewer than 32 do not suffice.
+    /// Divides the given number of descriptors. With fewer than 64 each part is smaller; fewer than 32 do not
+    /// suffice.
     pub fn for_limit(sockets: usize) -> DescriptorBudget {
         let reserved = (sockets / 2).min(32);
         let closing_clients = ((sockets - reserved) / 2).min(16);
@@ -81,23 +83,23 @@
 /// Why a scheduler stopped serving.
 #[derive(Debug, Error)]
 pub enum DaemonError {
-    /// The settings are out of their range.
+    /// A setting is out of range.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The listener has no address.
+    /// The address of the listener could not be determined.
     #[error("listen: {0}")]
     Listen(io::Error),
-    /// The scheduler loop has ended, which it only does if the dispatcher panics.
-    #[error("the core ended: {0:?}")]
+    /// The scheduler loop has ended, which happens only if the dispatcher panics.
+    #[error("the scheduler loop ended: {0:?}")]
     LoopEnded(Result<(), JoinError>),
 }
 
-/// Serves until the shutdown is complete and every job is answered. `active_rules` has the rules that all schedulers have adopted,
-/// where they adopt rules.
+/// Serves until the shutdown is complete and every job is answered. `active_rules` has the rules that all
+/// schedulers have adopted; it is `None` without a control plane.
 ///
 /// # Errors
 ///
-/// Returns an error if the settings are out of their range, or the scheduler loop has ended.
+/// Returns an error if a setting is out of range, or the scheduler loop has ended.
 pub async fn run(
     config: Config,
     discovery: watch::Receiver<SocketAddr>,
@@ -107,17 +109,17 @@
     active_rules: Option<watch::Receiver<Option<ActiveRules>>>,
 ) -> Result<(), DaemonError> {
     let (queue, inputs) = mpsc::unbounded_channel();
-    let (ask, asked) = mpsc::unbounded_channel();
+    let (watch_requests, watch_requested) = mpsc::unbounded_channel();
     let descriptors = DescriptorBudget::for_limit(config.max_descriptors);
     let worker_client =
         WorkerClient::new(descriptors.workers, config.worker_connections, counters.clone(), queue.clone());
     tokio::spawn(worker_client.clone().sweep());
-    let carry_out = move |order| match order {
+    let execute_command = move |command| match command {
         Command::StartAttempt(request) => drop(tokio::spawn(worker_client.clone().execute(request))),
         Command::Probe { worker, address } => {
             drop(tokio::spawn(worker_client.clone().probe(worker, address)));
         }
-        Command::WatchList => drop(ask.send(())),
+        Command::WatchList => drop(watch_requests.send(())),
     };
     let timing = WatchTiming {
         pushed: !config.settings.requires_subscription,
@@ -125,8 +127,14 @@
         grace: config.worker_connections.drain_grace,
     };
     let rng = fastrand::Rng::with_seed(config.seed);
-    let client =
-        DiscoveryClient { discovery, names: config.entry_names, timing, rng, queue: queue.clone(), asked };
+    let client = DiscoveryClient {
+        discovery,
+        names: config.entry_names,
+        timing,
+        rng,
+        queue: queue.clone(),
+        asked: watch_requested,
+    };
     tokio::spawn(client.run(config.initial_endpoints));
     if let Some(active_rules) = active_rules {
         tokio::spawn(rules_conversion::forward_rules(
@@ -135,12 +143,12 @@
             queue.clone(),
         ));
     }
-    let ending = (shutdown.clone(), queue.clone());
+    let (shutdown_observer, event_sender) = (shutdown.clone(), queue.clone());
     tokio::spawn(async move {
-        let by = ending.0.answer_by().await;
-        let _ = ending.1.send(Event::Shutdown { deadline: by });
+        let deadline = shutdown_observer.wait_for_start().await;
+        let _ = event_sender.send(Event::Shutdown { deadline });
     });
-    let scheduler_loop = SchedulerLoop::new(config.settings, config.seed, counters.clone(), carry_out);
+    let scheduler_loop = SchedulerLoop::new(config.settings, config.seed, counters.clone(), execute_command);
     let scheduler_loop = scheduler_loop?;
     let scheduler_loop = tokio::spawn(scheduler_loop.run(inputs));
     let address = listener.local_addr().map_err(DaemonError::Listen)?;
@@ -150,12 +158,12 @@
         job_queue: JobQueue::new(queue),
         counters,
         shutdown,
-        open: OpenRequestIds::default(),
+        open_requests: OpenRequestIds::default(),
         client_connection: ClientConnection::new(),
     };
     tokio::select! {
         () = acceptor::serve(listener, handler, descriptors) => Ok(()),
-        // It runs as long as the queue has senders: if it ends, the module has panicked.
+        // The loop runs as long as its queue has senders: if it ends here, the dispatcher has panicked.
         ended = scheduler_loop => Err(DaemonError::LoopEnded(ended)),
     }
 }
--- a/crates/daemon/src/line_reader.rs
+++ b/crates/daemon/src/line_reader.rs
@@ -1,4 +1,4 @@
-//! The lines of a streamed response, as they arrive.
+//! Reads the lines of a streamed response as they arrive.
 
 use bytes::{Buf, Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -8,10 +8,10 @@
 /// Why the next line of a response could not be read.
 #[derive(Debug, Error)]
 pub enum LineError {
-    /// A line is too long.
-    #[error("a line of more than {0} bytes")]
+    /// A line has more bytes than allowed.
+    #[error("line longer than {0} bytes")]
     TooLong(usize),
-    /// The response broke off.
+    /// The response was aborted.
     #[error(transparent)]
     Body(#[from] hyper::Error),
 }
@@ -20,6 +20,7 @@
 pub struct LineReader {
     body: Incoming,
     buffer: BytesMut,
+    /// The length of the buffer's start that contains no line end.
     searched: usize,
     max_bytes: usize,
 }
@@ -30,11 +31,12 @@
         LineReader { body, buffer: BytesMut::new(), searched: 0, max_bytes }
     }
 
-    /// Returns the next line without its end; `None` when the response has properly ended. Cancellation safe.
+    /// Returns the next line without its line end; `None` when the response has ended normally. Cancellation
+    /// safe.
     ///
     /// # Errors
     ///
-    /// Returns an error if a line is too long or the response breaks off.
+    /// Returns an error if a line is too long or the response is aborted.
     pub async fn next_line(&mut self) -> Result<Option<Bytes>, LineError> {
         loop {
             if let Some(end) = self.buffer[self.searched..].iter().position(|b| *b == b'\n') {
@@ -53,7 +55,7 @@
                         self.buffer.extend_from_slice(&data);
                     }
                 }
-                Some(Err(e)) => return Err(e.into()),
+                Some(Err(error)) => return Err(error.into()),
                 None if self.buffer.is_empty() => return Ok(None),
                 None => {
                     self.searched = 0;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,5 @@
-//! nickelflow: runs one scheduler on real sockets, and the operators' commands to a fleet of schedulers.
+//! The nickelflow program: runs one scheduler on real sockets, or an operator's command for a fleet of
+//! schedulers.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -16,24 +17,28 @@
 use tracing::{error, info, warn};
 use tracing_subscriber::EnvFilter;
 
-/// Starts to adopt rules with the other schedulers, under a name.
+/// Starts the control plane, by which this scheduler adopts rules together with the others. `name` applies if
+/// the settings have none.
 async fn start_control_plane(settings: &RulesSettings, name: &str) -> Result<ControlPlane, String> {
     let voting = settings.voter_id.zip(settings.data_dir.clone());
     let config = nickelflow_control_plane::ControlPlaneConfig {
         fleet: settings.fleet.clone(),
         name: settings.name.clone().unwrap_or_else(|| name.to_owned()),
-        voters: settings.voters().map_err(|e| e.to_string())?,
+        voters: settings.voters().map_err(|error| error.to_string())?,
         voter: voting.map(|(id, data)| nickelflow_control_plane::VoterConfig { id, data_dir: data }),
-        lease: settings.lease_config().map_err(|e| e.to_string())?,
-        local_lease: settings.local_lease_config().map_err(|e| e.to_string())?,
+        lease: settings.lease_config().map_err(|error| error.to_string())?,
+        local_lease: settings.local_lease_config().map_err(|error| error.to_string())?,
         build: env!("CARGO_PKG_VERSION").to_owned(),
     };
-    nickelflow_daemon::rules_conversion::begin(config, settings.listen).await.map_err(|e| e.to_string())
+    nickelflow_daemon::rules_conversion::begin(config, settings.listen)
+        .await
+        .map_err(|error| error.to_string())
 }
 
 async fn serve(settings: Option<Settings>) -> Result<(), String> {
-    // Before anything can take the program for ready: uncaught, each of these signals would end it.
-    let signals = Signals::install().map_err(|e| format!("signals: {e}"))?;
+    // Installed before anything can consider the program ready: without a handler, each of these signals
+    // terminates it.
+    let signals = Signals::install().map_err(|error| format!("signals: {error}"))?;
     let env = |name: &str| std::env::var(name).ok();
     let config = Config::load(env).map_err(|error| error.to_string())?;
     let control_plane = match settings.and_then(|settings| settings.rules) {
@@ -41,45 +46,55 @@
         None => None,
     };
     let listener = nickelflow_daemon::listen::listen(config.listen).await;
-    let listener = listener.map_err(|e| format!("listen: cannot listen on {}: {e}", config.listen))?;
+    let listener =
+        listener.map_err(|error| format!("listen: cannot listen on {}: {error}", config.listen))?;
     let counters = SharedCounters::default();
-    let longest = config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
-    let (trigger, stages) = shutdown::shutdown(ShutdownSchedule::new(Duration::from_nanos(longest)));
-    let (discovery, moved) = watch::channel(config.discovery);
+    let longest_deadline =
+        config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+    let (trigger, shutdown) =
+        shutdown::shutdown_channel(ShutdownSchedule::new(Duration::from_nanos(longest_deadline)));
+    let (discovery, discovery_changes) = watch::channel(config.discovery);
     let identity = config.identity.clone();
-    let read_again = || match config::reload_discovery(env, &identity) {
+    let reload = || match config::reload_discovery(env, &identity) {
         Ok(address) => {
-            info!(discovery = %address, "configuration read again");
+            info!(discovery = %address, "configuration reloaded");
             discovery.send_if_modified(|old| std::mem::replace(old, address) != address);
         }
         Err(error) => {
             let why = error.to_string();
-            warn!(why, "configuration not taken, the old one stays");
+            warn!(why, "configuration reload failed, keeping the old one");
         }
     };
-    let ending = async {
-        signals.end(counters.clone(), read_again).await;
-        info!("told to end");
-        trigger.pull().await;
+    let graceful_shutdown = async {
+        signals.wait_for_termination(counters.clone(), reload).await;
+        info!("shutting down");
+        trigger.run().await;
         std::future::pending().await
     };
     let active_rules = control_plane.as_ref().map(|control_plane| control_plane.active_rules.clone());
     let served = tokio::select! {
-        served = nickelflow_daemon::run(config, moved, listener, counters.clone(), stages, active_rules) => {
+        served = nickelflow_daemon::run(
+            config,
+            discovery_changes,
+            listener,
+            counters.clone(),
+            shutdown,
+            active_rules,
+        ) => {
             served.map_err(|error| error.to_string())
         }
-        failed = ending => failed,
+        failed = graceful_shutdown => failed,
     };
     info!("counters: {counters}");
-    // Nothing is sent any more, so that another scheduler may take its membership.
+    // This scheduler sends nothing any more, so that another one may take over its membership.
     control_plane.into_iter().for_each(ControlPlane::shut_down);
     served
 }
 
-/// The reason why the program ends with a status other than 0.
+/// Why the program exits with a status other than 0.
 struct Failure {
     exit_status: u8,
-    /// Printed unless it is empty, because it has been logged.
+    /// The message to print. It is empty if it has already been logged.
     message: String,
 }
 
@@ -89,12 +104,13 @@
     }
 }
 
-fn run(settings: Option<Settings>, format: LogFormat) -> Result<(), Failure> {
+fn run_scheduler(settings: Option<Settings>, format: LogFormat) -> Result<(), Failure> {
     let filter = EnvFilter::try_from_env("NICKELFLOW_LOG").unwrap_or_else(|_| EnvFilter::new("info"));
-    let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false);
+    let subscriber =
+        tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false);
     match format {
-        LogFormat::Text => log.init(),
-        LogFormat::Json => log.json().init(),
+        LogFormat::Text => subscriber.init(),
+        LogFormat::Json => subscriber.json().init(),
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let served = match runtime {
@@ -107,10 +123,10 @@
     })
 }
 
-fn act(arguments: Arguments) -> Result<(), Failure> {
+fn run_command(arguments: Arguments) -> Result<(), Failure> {
     let settings = arguments.config.as_deref().map(Settings::load).transpose().map_err(CliError::from)?;
     match arguments.command {
-        None | Some(CliCommand::Run) => run(settings, arguments.log_format),
+        None | Some(CliCommand::Run) => run_scheduler(settings, arguments.log_format),
         Some(CliCommand::Check { file }) => {
             let document = load_document(&file)?;
             println!("{}: sound, {} workers set apart", file.display(), document.workers.len());
@@ -131,7 +147,7 @@
 }
 
 fn main() -> ExitCode {
-    match act(Arguments::parse()) {
+    match run_command(Arguments::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             if !failure.message.is_empty() {
--- a/crates/daemon/src/request_reader.rs
+++ b/crates/daemon/src/request_reader.rs
@@ -1,9 +1,10 @@
-//! Reads a client's requests by their bytes before hyper does.
+//! Checks the bytes of a client's requests before hyper parses them.
 //!
-//! hyper hides from the service some of what makes a request ambiguous: of `Content-Length` and
-//! `Transfer-Encoding` together it drops the former, and of several equal lengths all but one. What reads such
-//! a request otherwise would find another request in its body. So each head is kept back until it is whole
-//! and sound, and hyper gets no byte beyond the one request that it announces.
+//! hyper hides some ambiguities of a request from the service: if `Content-Length` and `Transfer-Encoding`
+//! are both present, it drops the former, and of several equal lengths it drops all but one. An intermediary
+//! that resolves such a request differently would find another request in its body (request smuggling). So
+//! each head is held back until it is complete and valid, and hyper receives no byte beyond the one request
+//! that the head announces.
 
 use std::io::{self, Read};
 use std::pin::Pin;
@@ -21,11 +22,14 @@
 use crate::early_rejection::EarlyRejection;
 use crate::interrupted::retry_interrupted;
 
+/// The largest body of a request.
 pub const MAX_BODY_BYTES: u64 = 64 << 10;
-/// Heads are kept in memory for each connection, and memory may be 32 MB for hundreds of them.
+/// The largest head of a request. Each connection buffers its head, and the process may have 32 MB for
+/// hundreds of connections.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 const MAX_HEADERS: usize = 100;
-/// The largest number of reads in one check for a client's disconnection: a client that writes without end is there.
+/// The largest number of reads in one check for a client's disconnection: a client that keeps writing is
+/// connected.
 const MAX_CHECK_READS: usize = 16;
 
 const TOO_LARGE: EarlyRejection =
@@ -35,10 +39,10 @@
     EarlyRejection::new(StatusCode::BAD_REQUEST, "content-length: must be one whole number");
 const BAD_ENCODING: EarlyRejection =
     EarlyRejection::new(StatusCode::BAD_REQUEST, "transfer-encoding: must be chunked, once");
-const TWO_FRAMINGS: EarlyRejection =
+const CONFLICTING_FRAMING: EarlyRejection =
     EarlyRejection::new(StatusCode::BAD_REQUEST, "content-length and transfer-encoding");
 
-/// The stream of one client as hyper sees it. Its clones are the same stream.
+/// The stream of one client as hyper sees it. Clones share the stream.
 #[derive(Clone)]
 pub struct ClientStream(Arc<Mutex<RequestReader>>);
 
@@ -46,22 +50,23 @@
     stream: TcpStream,
     client_connection: Arc<ClientConnection>,
     buffer: BytesMut,
-    /// How many bytes, from the start of the buffer on, belong to the request that hyper may see.
-    pass: u64,
-    /// How much of the buffer has been looked at in vain for a head.
-    looked: usize,
-    ended: bool,
+    /// The number of bytes, buffered or still to come, that belong to the request that hyper may read.
+    forwardable_bytes: u64,
+    /// The length of the buffer's start that was searched without finding a complete head.
+    searched: usize,
+    has_ended: bool,
 }
 
 impl ClientStream {
+    /// Creates the stream and registers its check for the client's disconnection.
     pub fn new(stream: TcpStream, client_connection: Arc<ClientConnection>) -> ClientStream {
         let request_reader = RequestReader {
             stream,
             client_connection: client_connection.clone(),
             buffer: BytesMut::new(),
-            pass: 0,
-            looked: 0,
-            ended: false,
+            forwardable_bytes: 0,
+            searched: 0,
+            has_ended: false,
         };
         let request_reader = Arc::new(Mutex::new(request_reader));
         let check: Weak<Mutex<RequestReader>> = Arc::downgrade(&request_reader);
@@ -75,127 +80,137 @@
 
     /// Returns whether the end of the client's stream has been read.
     pub fn has_ended(&self) -> bool {
-        self.request_reader().ended
+        self.request_reader().has_ended
     }
 
-    /// Is ready once the client has disconnected while its job is under way. hyper cannot tell where anything lies unread
-    /// behind the request, and then reads no further.
-    pub fn poll_gone(&self, cx: &mut Context) -> Poll<()> {
+    /// Completes when the client has disconnected while its job is in flight. hyper cannot detect this when
+    /// unread bytes follow the request, because it then reads no further.
+    pub fn poll_disconnected(&self, cx: &mut Context) -> Poll<()> {
         let mut request_reader = self.request_reader();
-        while !request_reader.ended && request_reader.passed() {
-            if ready!(request_reader.fill(cx)).is_err() {
-                request_reader.ended = true;
+        while !request_reader.has_ended && request_reader.has_complete_request() {
+            if ready!(request_reader.fill_buffer(cx)).is_err() {
+                request_reader.has_ended = true;
             }
-            request_reader.drop_excess();
+            request_reader.discard_excess();
         }
-        if request_reader.ended && request_reader.passed() {
+        if request_reader.has_ended && request_reader.has_complete_request() {
             Poll::Ready(())
         } else {
             Poll::Pending
         }
     }
 
-    /// Reads and discards; returns how many bytes, or 0 at the end.
+    /// Reads and discards input. Returns the number of bytes, or 0 at the end of the stream.
     pub fn poll_discard(&self, cx: &mut Context) -> Poll<io::Result<usize>> {
         let mut request_reader = self.request_reader();
         request_reader.buffer.clear();
-        ready!(request_reader.fill(cx))?;
+        ready!(request_reader.fill_buffer(cx))?;
         Poll::Ready(Ok(request_reader.buffer.len()))
     }
 }
 
 impl DisconnectCheck for Mutex<RequestReader> {
     fn has_disconnected(&self) -> bool {
-        self.lock().unwrap_or_else(PoisonError::into_inner).poll_socket()
+        self.lock().unwrap_or_else(PoisonError::into_inner).check_disconnected()
     }
 }
 
 impl RequestReader {
-    /// Returns whether all of a request has come that has no answer yet.
-    fn passed(&self) -> bool {
-        self.client_connection.state().passed
+    /// Returns whether a request has arrived completely that has no response yet.
+    fn has_complete_request(&self) -> bool {
+        self.client_connection.state().has_complete_request
     }
 
-    /// So much ahead of its turn is no request of a client that waits for answers.
-    fn drop_excess(&mut self) {
+    /// Discards pipelined input that is larger than a head: a client that waits for responses does not send
+    /// as much ahead. The connection then closes after the current request.
+    fn discard_excess(&mut self) {
         if self.buffer.len() > MAX_HEAD_BYTES {
-            (self.buffer, self.looked) = (BytesMut::new(), 0);
-            self.client_connection.state().last = true;
+            (self.buffer, self.searched) = (BytesMut::new(), 0);
+            self.client_connection.state().closes_after_request = true;
         }
     }
 
-    /// Returns whether the client of a job that is under way has disconnected. Reads what the kernel has, whether or not the runtime has
-    /// been notified of it yet; what is not the end of the stream is kept for the next call.
-    fn poll_socket(&mut self) -> bool {
-        let mut space = [0; 8 << 10];
+    /// Returns whether the client of a job that is in flight has disconnected. Reads what the kernel has
+    /// buffered, whether or not the runtime has been notified of it; bytes that are read are kept for the
+    /// next call.
+    fn check_disconnected(&mut self) -> bool {
+        let mut chunk = [0; 8 << 10];
         for _ in 0..MAX_CHECK_READS {
-            if self.ended || !self.passed() {
+            if self.has_ended || !self.has_complete_request() {
                 break;
             }
-            match (&*SockRef::from(&self.stream)).read(&mut space) {
-                Ok(0) => self.ended = true,
+            match (&*SockRef::from(&self.stream)).read(&mut chunk) {
+                Ok(0) => self.has_ended = true,
                 Ok(n) => {
-                    self.buffer.extend_from_slice(&space[..n]);
-                    self.drop_excess();
+                    self.buffer.extend_from_slice(&chunk[..n]);
+                    self.discard_excess();
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => self.ended = true,
+                Err(_) => self.has_ended = true,
             }
         }
-        self.ended
+        self.has_ended
     }
 
-    /// Reads once from the stream.
-    fn fill(&mut self, cx: &mut Context) -> Poll<io::Result<()>> {
-        let mut space = [0; 8 << 10];
-        let mut read = ReadBuf::new(&mut space);
+    /// Reads once from the stream into the buffer.
+    fn fill_buffer(&mut self, cx: &mut Context) -> Poll<io::Result<()>> {
+        let mut chunk = [0; 8 << 10];
+        let mut read = ReadBuf::new(&mut chunk);
         ready!(retry_interrupted(|| Pin::new(&mut self.stream).poll_read(cx, &mut read)))?;
-        self.ended = read.filled().is_empty();
+        self.has_ended = read.filled().is_empty();
         self.buffer.extend_from_slice(read.filled());
         Poll::Ready(Ok(()))
     }
 
-    /// Looks for a complete head at the start of the buffer, and lets it and its body pass to hyper.
-    fn head(&mut self) {
-        let blank = self.buffer.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
-        if self.looked == 0 {
-            self.buffer.advance(blank);
+    /// Searches the start of the buffer for a complete head, and releases the head and its body to hyper.
+    fn parse_next_head(&mut self) {
+        let blank_bytes = self.buffer.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
+        if self.searched == 0 {
+            self.buffer.advance(blank_bytes);
         }
         let mut state = self.client_connection.state();
-        if !self.buffer.is_empty() && !state.busy {
-            state.begun = true;
-            state.reading.get_or_insert_with(Instant::now);
+        if !self.buffer.is_empty() && !state.has_active_call {
+            state.has_request_bytes = true;
+            state.request_started_at.get_or_insert_with(Instant::now);
         }
-        // Parsed anew at each byte, a head that drips in would take the processor for itself.
-        let new = &self.buffer[self.looked..];
-        if new.is_empty() || self.looked > 0 && !new.contains(&b'\n') && self.buffer.len() < MAX_HEAD_BYTES {
+        // Parsing again after each byte would let a head that arrives byte by byte use up the processor.
+        let unsearched = &self.buffer[self.searched..];
+        if unsearched.is_empty()
+            || self.searched > 0 && !unsearched.contains(&b'\n') && self.buffer.len() < MAX_HEAD_BYTES
+        {
             return;
         }
-        self.looked = self.buffer.len();
-        match framing(&self.buffer) {
-            Ok(Some((head, Body::Length(length)))) => {
-                self.pass = head as u64 + length;
+        self.searched = self.buffer.len();
+        match parse_framing(&self.buffer) {
+            Ok(Some((head, BodyFraming::Length(length)))) => {
+                self.forwardable_bytes = head as u64 + length;
                 if length > MAX_BODY_BYTES {
-                    (self.pass, state.last) = (u64::MAX, true);
+                    (self.forwardable_bytes, state.closes_after_request) = (u64::MAX, true);
                 }
             }
-            // Where such a body ends is for hyper to say: nothing behind it is read.
-            Ok(Some((_, Body::Chunked))) => (self.pass, state.last) = (u64::MAX, true),
+            // Only hyper knows where such a body ends, so nothing after it is read.
+            Ok(Some((_, BodyFraming::Chunked))) => {
+                (self.forwardable_bytes, state.closes_after_request) = (u64::MAX, true)
+            }
             Ok(None) if self.buffer.len() < MAX_HEAD_BYTES => {}
             Ok(None) => state.rejection = Some(TOO_LARGE),
-            Err(refusal) => state.rejection = Some(refusal),
+            Err(rejection) => state.rejection = Some(rejection),
         }
     }
 }
 
-enum Body {
+/// How the end of a request body is determined.
+enum BodyFraming {
+    /// The body has this number of bytes.
     Length(u64),
+    /// The body has the chunked transfer encoding.
     Chunked,
 }
 
-/// Returns the length of the head with which the bytes begin, and its body; `None` while the head is not complete.
-fn framing(bytes: &[u8]) -> Result<Option<(usize, Body)>, EarlyRejection> {
+/// Returns the length of the head at the start of the bytes and the framing of its body; `None` while the
+/// head is not complete.
+fn parse_framing(bytes: &[u8]) -> Result<Option<(usize, BodyFraming)>, EarlyRejection> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
     let head = match request.parse(bytes) {
@@ -220,39 +235,40 @@
         }
     }
     match (length, chunked) {
-        (Some(_), true) => Err(TWO_FRAMINGS),
-        (_, true) => Ok(Some((head, Body::Chunked))),
-        (length, _) => Ok(Some((head, Body::Length(length.unwrap_or(0))))),
+        (Some(_), true) => Err(CONFLICTING_FRAMING),
+        (_, true) => Ok(Some((head, BodyFraming::Chunked))),
+        (length, _) => Ok(Some((head, BodyFraming::Length(length.unwrap_or(0))))),
     }
 }
 
 impl AsyncRead for ClientStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, out: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, output: &mut ReadBuf) -> Poll<io::Result<()>> {
         let reader = &mut *self.request_reader();
         loop {
-            if reader.passed() {
-                // What comes now is for the next call, and an end is for `poll_gone` to see.
-                reader.client_connection.state().reader = Some(cx.waker().clone());
+            if reader.has_complete_request() {
+                // Bytes that arrive now belong to the next call, and `poll_disconnected` detects the end.
+                reader.client_connection.state().reader_waker = Some(cx.waker().clone());
                 return Poll::Pending;
             }
-            if reader.pass == 0 {
-                reader.head();
+            if reader.forwardable_bytes == 0 {
+                reader.parse_next_head();
             }
             if reader.client_connection.rejection().is_some() {
-                // An error would also break off the call that is under way before it.
-                let broken = Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
-                return if reader.client_connection.is_busy() { Poll::Pending } else { broken };
+                // An error would also abort the call that is in flight before it.
+                let invalid = Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
+                return if reader.client_connection.has_active_call() { Poll::Pending } else { invalid };
             }
-            if reader.pass > 0 && !reader.buffer.is_empty() {
-                let most = reader.buffer.len().min(out.remaining());
-                let n = most.min(usize::try_from(reader.pass).unwrap_or(usize::MAX));
-                out.put_slice(&reader.buffer[..n]);
+            if reader.forwardable_bytes > 0 && !reader.buffer.is_empty() {
+                let available = reader.buffer.len().min(output.remaining());
+                let n = available.min(usize::try_from(reader.forwardable_bytes).unwrap_or(usize::MAX));
+                output.put_slice(&reader.buffer[..n]);
                 reader.buffer.advance(n);
-                reader.pass -= n as u64;
-                reader.looked = 0;
-                if reader.pass == 0 {
+                reader.forwardable_bytes -= n as u64;
+                reader.searched = 0;
+                if reader.forwardable_bytes == 0 {
                     let mut state = reader.client_connection.state();
-                    (state.reading, state.begun, state.passed) = (None, false, true);
+                    (state.request_started_at, state.has_request_bytes, state.has_complete_request) =
+                        (None, false, true);
                     state.idle_since = Instant::now();
                 }
                 if reader.buffer.is_empty() {
@@ -260,10 +276,10 @@
                 }
                 return Poll::Ready(Ok(()));
             }
-            if reader.ended {
+            if reader.has_ended {
                 return Poll::Ready(Ok(()));
             }
-            ready!(reader.fill(cx))?;
+            ready!(reader.fill_buffer(cx))?;
         }
     }
 }
@@ -272,7 +288,7 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let mut request_reader = self.request_reader();
         let written = retry_interrupted(|| Pin::new(&mut request_reader.stream).poll_write(cx, bytes));
-        request_reader.client_connection.state().stuck = written.is_pending();
+        request_reader.client_connection.state().has_unwritten_response = written.is_pending();
         written
     }
 
@@ -284,7 +300,7 @@
         let mut request_reader = self.request_reader();
         let written =
             retry_interrupted(|| Pin::new(&mut request_reader.stream).poll_write_vectored(cx, bytes));
-        request_reader.client_connection.state().stuck = written.is_pending();
+        request_reader.client_connection.state().has_unwritten_response = written.is_pending();
         written
     }
 
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -1,6 +1,6 @@
-//! All signals. The planned end: SIGTERM or SIGINT, then a while in which clients that have not heard of it
-//! are still served as ever, then the door is closed and what has been taken is answered. SIGHUP: the
-//! configuration is read again. SIGUSR1: the counters are printed.
+//! Signals and the graceful shutdown. SIGTERM and SIGINT start the shutdown: for a while, clients that do not
+//! know of it are still served as before; then the listener is closed and all accepted jobs are answered.
+//! SIGHUP reloads the configuration. SIGUSR1 prints the counters.
 
 use std::time::{Duration, Instant};
 
@@ -10,35 +10,39 @@
 
 use crate::counters::SharedCounters;
 
-/// For 0.2 to 0.4 s after the signal new connections keep arriving; clients go on using those that they have.
-const CROSSING: Duration = Duration::from_millis(450);
-/// SIGKILL comes no sooner than this long after the longest deadline, which counts up to `LONGEST`.
-const KILL: Duration = Duration::from_millis(700);
-const LONGEST: Duration = Duration::from_secs(3);
-/// From the answers that are forced to the SIGKILL that may come, for them to be written in.
-const WRITING: Duration = Duration::from_millis(400);
-/// From the close of the door to those answers: what came last gets that long to be served.
-const LAST: Duration = Duration::from_millis(700);
-
-/// The times of a planned end, counted from its signal. SIGKILL is not announced: they must fit before the
-/// soonest one that the deadlines in the settings allow.
+/// New connections keep arriving for 0.2 to 0.4 s after the signal, and clients go on using those that they
+/// have.
+const SIGNAL_PROPAGATION: Duration = Duration::from_millis(450);
+/// SIGKILL is sent no sooner than this time plus the longest deadline, which counts up to
+/// [`MAX_COUNTED_DEADLINE`].
+const KILL_DELAY: Duration = Duration::from_millis(700);
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+/// The time to write the answers: from the moment when all jobs are answered to the earliest possible
+/// SIGKILL.
+const WRITE_TIME: Duration = Duration::from_millis(400);
+/// The time from the close of the listener to those answers, in which the last jobs can be served.
+const LAST_JOBS_TIME: Duration = Duration::from_millis(700);
+
+/// The schedule of a graceful shutdown, counted from its signal. SIGKILL is not announced, so the schedule
+/// must end before the earliest one that the deadlines in the settings allow.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShutdownSchedule {
-    /// Until then the door stays open: in a rolling restart the others may not be back yet, and whoever is
-    /// sent away then finds nobody.
+    /// The time for which the listener stays open. In a rolling restart the other schedulers may not be back
+    /// yet, and a client that is turned away would find no other.
     pub stop_accepting_after: Duration,
-    /// All that is still open then is answered.
+    /// The time after which all jobs that are still open are answered.
     pub answer_all_after: Duration,
 }
 
 impl ShutdownSchedule {
-    /// Returns the schedule for settings in which no deadline is longer than this.
+    /// Returns the schedule for settings with this longest deadline.
     pub fn new(longest_deadline: Duration) -> ShutdownSchedule {
-        let kill = longest_deadline.min(LONGEST) + KILL;
-        let answered = kill.saturating_sub(WRITING).max(CROSSING + Duration::from_millis(50));
+        let earliest_kill = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
+        let answer_all_after =
+            earliest_kill.saturating_sub(WRITE_TIME).max(SIGNAL_PROPAGATION + Duration::from_millis(50));
         ShutdownSchedule {
-            stop_accepting_after: answered.saturating_sub(LAST).max(CROSSING),
-            answer_all_after: answered,
+            stop_accepting_after: answer_all_after.saturating_sub(LAST_JOBS_TIME).max(SIGNAL_PROPAGATION),
+            answer_all_after,
         }
     }
 }
@@ -46,83 +50,85 @@
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 enum Stage {
     Serving,
-    Begun { answer_by: Instant },
-    Closing { answer_by: Instant },
+    Draining { answer_deadline: Instant },
+    Closing { answer_deadline: Instant },
 }
 
-/// How far the shutdown has come; every part of the program that must know holds a clone.
+/// The stage of the shutdown, observed by each part of the program that holds a clone.
 #[derive(Clone)]
 pub struct Shutdown(watch::Receiver<Stage>);
 
-/// Begins the shutdown.
+/// Starts the shutdown and moves it through its stages.
 pub struct ShutdownTrigger(watch::Sender<Stage>, ShutdownSchedule);
 
-/// Creates the two ends of a shutdown: what begins it and what observes it.
-pub fn shutdown(terms: ShutdownSchedule) -> (ShutdownTrigger, Shutdown) {
+/// Creates the two ends of a shutdown: the trigger that starts it and the handle that observes it.
+pub fn shutdown_channel(schedule: ShutdownSchedule) -> (ShutdownTrigger, Shutdown) {
     let (trigger, shutdown) = watch::channel(Stage::Serving);
-    (ShutdownTrigger(trigger, terms), Shutdown(shutdown))
+    (ShutdownTrigger(trigger, schedule), Shutdown(shutdown))
 }
 
 impl ShutdownTrigger {
-    /// Runs through the stages; what follows waits for what was taken by itself.
-    pub async fn pull(&self) {
-        let answer_by = Instant::now() + self.1.answer_all_after;
-        self.0.send_replace(Stage::Begun { answer_by });
+    /// Starts the shutdown, and closes the listener when its time is over. The acceptor itself waits for the
+    /// accepted jobs.
+    pub async fn run(&self) {
+        let answer_deadline = Instant::now() + self.1.answer_all_after;
+        self.0.send_replace(Stage::Draining { answer_deadline });
         tokio::time::sleep(self.1.stop_accepting_after).await;
-        self.0.send_replace(Stage::Closing { answer_by });
+        self.0.send_replace(Stage::Closing { answer_deadline });
     }
 }
 
 impl Shutdown {
     /// Returns whether the shutdown has begun.
-    pub fn begun(&self) -> bool {
+    pub fn has_begun(&self) -> bool {
         *self.0.borrow() != Stage::Serving
     }
 
-    /// Whether no new connections are taken any more.
+    /// Returns whether new connections are no longer accepted.
     pub fn is_closing(&self) -> bool {
         matches!(*self.0.borrow(), Stage::Closing { .. })
     }
 
-    /// When all must be answered, if the end has begun.
-    pub fn answered_by(&self) -> Option<Instant> {
+    /// Returns when all jobs must be answered, if the shutdown has begun.
+    pub fn answer_deadline(&self) -> Option<Instant> {
         match *self.0.borrow() {
             Stage::Serving => None,
-            Stage::Begun { answer_by } | Stage::Closing { answer_by } => Some(answer_by),
+            Stage::Draining { answer_deadline } | Stage::Closing { answer_deadline } => Some(answer_deadline),
         }
     }
 
-    /// Returns at the begin of the end, with the time by which all must be answered.
-    pub async fn answer_by(&self) -> Instant {
+    /// Waits until the shutdown begins, and returns the time by which all jobs must be answered.
+    pub async fn wait_for_start(&self) -> Instant {
         let mut stage = self.0.clone();
         let begun = stage.wait_for(|stage| *stage != Stage::Serving).await.map(|stage| *stage);
         match begun {
-            Ok(Stage::Begun { answer_by } | Stage::Closing { answer_by }) => answer_by,
+            Ok(Stage::Draining { answer_deadline } | Stage::Closing { answer_deadline }) => answer_deadline,
             _ => std::future::pending().await,
         }
     }
 
-    /// Returns once the time is over in which a request may still be taken.
-    pub async fn over(&self) {
-        tokio::time::sleep_until(self.answer_by().await.into()).await;
+    /// Waits until all jobs must be answered, after which no request is accepted.
+    pub async fn wait_for_answer_deadline(&self) {
+        tokio::time::sleep_until(self.wait_for_start().await.into()).await;
     }
 
-    /// Returns once no new work is taken any more.
-    pub async fn closing(&self) {
+    /// Waits until new connections are no longer accepted.
+    pub async fn wait_for_closing(&self) {
         let mut stage = self.0.clone();
-        // A trigger that is gone can close nothing.
+        // A trigger that was dropped cannot close the listener.
         if stage.wait_for(|stage| matches!(stage, Stage::Closing { .. })).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// The signals that this program takes. Until they are installed, each of them ends it.
+/// The signals that the program handles. Until the handlers are installed, each signal terminates the
+/// program.
 pub struct Signals {
-    term: Signal,
+    terminate: Signal,
     interrupt: Signal,
     hangup: Signal,
-    print: Signal,
+    print_counters: Signal,
 }
 
 impl Signals {
@@ -133,22 +139,22 @@
     /// Returns the error of the first handler that could not be installed.
     pub fn install() -> std::io::Result<Signals> {
         Ok(Signals {
-            term: signal(SignalKind::terminate())?,
+            terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
             hangup: signal(SignalKind::hangup())?,
-            print: signal(SignalKind::user_defined1())?,
+            print_counters: signal(SignalKind::user_defined1())?,
         })
     }
 
-    /// Waits for the signal to end; meanwhile calls `read_again` on each SIGHUP, and prints the counters on
+    /// Waits for the signal to shut down. Meanwhile calls `reload` on each SIGHUP and prints the counters on
     /// each SIGUSR1.
-    pub async fn end(mut self, counters: SharedCounters, read_again: impl Fn()) {
+    pub async fn wait_for_termination(mut self, counters: SharedCounters, reload: impl Fn()) {
         loop {
             tokio::select! {
-                _ = self.term.recv() => return,
+                _ = self.terminate.recv() => return,
                 _ = self.interrupt.recv() => return,
-                _ = self.hangup.recv() => read_again(),
-                _ = self.print.recv() => info!("counters: {counters}"),
+                _ = self.hangup.recv() => reload(),
+                _ = self.print_counters.recv() => info!("counters: {counters}"),
             }
         }
     }
--- a/crates/daemon/src/violations.rs
+++ b/crates/daemon/src/violations.rs
@@ -1,5 +1,5 @@
-//! Rules that were found broken: counted by kind and logged with the request. None of them may ever be seen; a count above
-//! zero fails tests and soaks.
+//! Reports violations: counts them by kind and logs them with the request. No violation is expected; a count
+//! above zero fails tests and soaks.
 
 use hyper::header::HeaderValue;
 use nickelflow_engine::permits::{Denial, Operation};
@@ -7,9 +7,9 @@
 
 use crate::counters::Counters;
 
-/// Takes note of one.
-pub fn report(counters: &Counters, operation: Operation, denial: Denial, request: &HeaderValue) {
+/// Counts and logs one violation.
+pub fn report(counters: &Counters, operation: Operation, denial: Denial, request_id: &HeaderValue) {
     counters.violations.add();
     counters.violation(operation, denial).add();
-    error!(act = operation.name(), denial = denial.name(), ?request, "a rule was broken");
+    error!(act = operation.name(), denial = denial.name(), request = ?request_id, "a rule was broken");
 }
--- a/crates/daemon/src/write_guard.rs
+++ b/crates/daemon/src/write_guard.rs
@@ -1,8 +1,9 @@
-//! The last look before bytes of an attempt go to the kernel: the facts as they are at that moment, for the permit.
+//! The last check before bytes of an attempt are written to the kernel, with the facts as they are at that
+//! moment.
 //!
-//! Between the decision on an attempt and its first byte lie a wait for a place, a connect, and turns of other tasks; and a
-//! process may be held up anywhere. What has happened meanwhile may be known to the kernel and not yet to the core, so that
-//! the client's socket is looked at here.
+//! Between the decision to start an attempt and its first byte, the attempt waits for a connection slot and a
+//! connect while other tasks run, and the process may be suspended at any point. The kernel may know of a
+//! disconnect that the engine has not been told of yet, so the client's socket is checked here.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,21 +11,22 @@
 use nickelflow_engine::permits::{self, Denial, Permit, StopLevel, WriteFacts};
 use tokio::sync::watch;
 
-/// The time left that a head tells was read at most this long before its first byte, and is told shorter by as much: the
-/// slack of 0.15 s that the platform gives is for a process that is held up in the write itself.
+/// The largest age of a head when its first byte is written. The remaining time that the head announces is
+/// reduced by as much: the slack of 0.15 s that the platform allows is for a process that is suspended during
+/// the write itself.
 pub const MAX_HEAD_AGE: Duration = Duration::from_millis(20);
 
-/// Whether a client is still there, by a look at its socket.
+/// Checks whether a client is still connected.
 #[derive(Clone)]
 pub struct ClientPresence(Arc<dyn Fn() -> bool + Send + Sync>);
 
 impl ClientPresence {
-    /// Known by a look that tells whether the client has left.
+    /// Creates a check that calls `has_left`.
     pub fn new(has_left: impl Fn() -> bool + Send + Sync + 'static) -> ClientPresence {
         ClientPresence(Arc::new(has_left))
     }
 
-    /// Of somebody who never leaves.
+    /// Creates a check of a client that never disconnects.
     pub fn always_connected() -> ClientPresence {
         ClientPresence::new(|| false)
     }
@@ -35,24 +37,24 @@
     }
 }
 
-/// What bounds the write of one attempt.
+/// The conditions under which one attempt may be written.
 pub struct WriteGuard {
     /// How far the attempt may still proceed.
     pub stop_level: watch::Receiver<StopLevel>,
-    /// Whether the client is still there.
+    /// The check whether the client is still connected.
     pub client: ClientPresence,
-    /// When its client gives up.
+    /// When the client gives up.
     pub deadline: Instant,
-    /// Until when a repeat may be written.
+    /// Until when a resent request may be written.
     pub resend_deadline: Option<Instant>,
-    /// Until when the rules hold that it was decided by.
+    /// Until when the rules are valid that permitted the attempt.
     pub rules_valid_until: Option<Instant>,
-    /// When the time left that its head tells was read.
+    /// When the head was built, and with it the remaining time that it announces.
     pub head_built_at: Instant,
 }
 
 impl WriteGuard {
-    /// Grants the write of a byte now; `started` if one has been written already.
+    /// Permits the write of a byte now. `started` tells whether a byte has been written already.
     ///
     /// # Errors
     ///
@@ -71,17 +73,18 @@
         permits::check_write(&facts)
     }
 
-    /// What a write that began with a permit has broken all the same, as the process stood still in it.
+    /// Returns the violation by a write that was permitted but ended at `written`, after its time had
+    /// expired, because the process was suspended meanwhile.
     pub fn violation_at(&self, written: Instant) -> Option<Denial> {
-        let over = |until: Option<Instant>| until.is_some_and(|until| until <= written);
-        let found = [
-            (over(self.resend_deadline), Denial::DeduplicationWindowExpired),
-            (over(self.rules_valid_until), Denial::RulesExpired),
+        let has_expired = |expiry: Option<Instant>| expiry.is_some_and(|expiry| expiry <= written);
+        let violations = [
+            (has_expired(self.resend_deadline), Denial::DeduplicationWindowExpired),
+            (has_expired(self.rules_valid_until), Denial::RulesExpired),
         ];
-        found.into_iter().find(|(broken, _)| *broken).map(|(_, denial)| denial)
+        violations.into_iter().find(|(is_violated, _)| *is_violated).map(|(_, denial)| denial)
     }
 
-    /// When it is too late to write anything more of it.
+    /// Returns when nothing more of the attempt may be written.
     pub fn write_deadline(&self) -> Option<Instant> {
         [self.resend_deadline, self.rules_valid_until].into_iter().flatten().min()
     }
--- a/crates/daemon/tests/floods.rs
+++ b/crates/daemon/tests/floods.rs
@@ -190,7 +190,7 @@
     // They come: the program has accepted some.
     while scene.program.counters()["accepted"] < 100 {}
     scene.program.signal("-TERM");
-    scene.program.logs("*told to end*");
+    scene.program.logs("*shutting down*");
     scene.program.logs("*counters: *");
     clients.into_iter().for_each(|client| client.join().expect("it comes"));
 }
