--- a/crates/daemon/src/acceptor.rs
+++ b/crates/daemon/src/acceptor.rs
@@ -277,8 +277,8 @@
 
 type HttpConnection = http1::Connection<TokioIo<ClientStream>, TowerToHyperService<JobHandler>>;
 
-/// Serves one client connection until it is closed. The task that runs it is owned by the connection's slot:
-/// the acceptor returns when all slots are free.
+/// Serves one client connection until it is closed. The task holds the connection's slot until then: the
+/// acceptor returns when all slots are free.
 async fn serve_connection(stream: TcpStream, handler: JobHandler, slot: ConnectionSlot) {
     let (shutdown, counters) = (handler.shutdown.clone(), handler.counters.clone());
     let client_connection = handler.client_connection.clone();
--- a/crates/daemon/src/client_connection.rs
+++ b/crates/daemon/src/client_connection.rs
@@ -51,8 +51,8 @@
     pub(crate) has_request_bytes: bool,
     /// Whether a call of the service is in flight.
     pub(crate) has_active_call: bool,
-    /// Whether a request has arrived completely that has no response yet.
-    pub(crate) has_complete_request: bool,
+    /// Whether a request has arrived completely and its response is not complete yet.
+    pub(crate) awaits_response: bool,
     /// Whether part of a response is not written yet because the client does not read.
     pub(crate) has_unwritten_response: bool,
     /// Wakes the reader of the stream when the call of the service ends.
@@ -81,7 +81,7 @@
             request_started_at: Some(accepted_at),
             has_request_bytes: false,
             has_active_call: false,
-            has_complete_request: false,
+            awaits_response: false,
             has_unwritten_response: false,
             reader_waker: None,
             idle_since: accepted_at,
@@ -135,7 +135,7 @@
     /// Records that the current request is a job with this id, which is being submitted.
     pub fn begin_job(&self, request_id: &HeaderValue) {
         let mut state = self.state();
-        (state.has_received_job, state.has_complete_request) = (true, true);
+        (state.has_received_job, state.awaits_response) = (true, true);
         state.request_id = Some(request_id.clone());
     }
 
@@ -244,7 +244,7 @@
 impl Drop for ActiveCall {
     fn drop(&mut self) {
         let mut state = self.0.state();
-        (state.has_active_call, state.has_complete_request) = (false, false);
+        (state.has_active_call, state.awaits_response) = (false, false);
         state.request_id = None;
         state.idle_since = Instant::now();
         state.reader_waker.take().into_iter().for_each(Waker::wake);
--- a/crates/daemon/src/job_handler.rs
+++ b/crates/daemon/src/job_handler.rs
@@ -286,10 +286,10 @@
     }
 }
 
-/// Returns the response to a rejected job: a retry is harmless, and should wait for this time (ns).
-fn rejected_reply(retry_after: u64) -> Reply {
+/// Returns the response to a rejected job: a retry is harmless, and should wait for this time.
+fn rejected_reply(retry_after_ns: u64) -> Reply {
     let mut rejection = reply(StatusCode::SERVICE_UNAVAILABLE, "refused, try again later\n");
-    let seconds = Duration::from_nanos(retry_after).as_secs_f64();
+    let seconds = Duration::from_nanos(retry_after_ns).as_secs_f64();
     if let Ok(seconds) = HeaderValue::try_from(format!("{seconds:.3}")) {
         rejection.headers_mut().insert(RETRY_AFTER, seconds);
     }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -66,10 +66,10 @@
 impl DescriptorBudget {
     /// Divides the given number of descriptors. With fewer than 64 each part is smaller; fewer than 32 do not
     /// suffice.
-    pub fn for_limit(sockets: usize) -> DescriptorBudget {
-        let reserved = (sockets / 2).min(32);
-        let closing_clients = ((sockets - reserved) / 2).min(16);
-        let shared = sockets - reserved - closing_clients;
+    pub fn for_limit(max_descriptors: usize) -> DescriptorBudget {
+        let reserved = (max_descriptors / 2).min(32);
+        let closing_clients = ((max_descriptors - reserved) / 2).min(16);
+        let shared = max_descriptors - reserved - closing_clients;
         let workers = (shared * 2 / 5).max(1);
         DescriptorBudget {
             reserved,
--- a/crates/daemon/src/listen.rs
+++ b/crates/daemon/src/listen.rs
@@ -10,8 +10,8 @@
 
 /// The number of connections that may wait to be accepted.
 pub const BACKLOG: u32 = 1024;
-/// The time for which opening a listener is retried: the platform requires a scheduler to be ready within 10
-/// s.
+/// The time for which opening a listener is retried: the platform requires a scheduler to be ready within
+/// 10 s.
 const LISTEN_TIMEOUT: Duration = Duration::from_secs(8);
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
--- a/crates/daemon/src/request_reader.rs
+++ b/crates/daemon/src/request_reader.rs
@@ -87,13 +87,13 @@
     /// unread bytes follow the request, because it then reads no further.
     pub fn poll_disconnected(&self, cx: &mut Context) -> Poll<()> {
         let mut request_reader = self.request_reader();
-        while !request_reader.has_ended && request_reader.has_complete_request() {
+        while !request_reader.has_ended && request_reader.awaits_response() {
             if ready!(request_reader.fill_buffer(cx)).is_err() {
                 request_reader.has_ended = true;
             }
             request_reader.discard_excess();
         }
-        if request_reader.has_ended && request_reader.has_complete_request() {
+        if request_reader.has_ended && request_reader.awaits_response() {
             Poll::Ready(())
         } else {
             Poll::Pending
@@ -116,9 +116,9 @@
 }
 
 impl RequestReader {
-    /// Returns whether a request has arrived completely that has no response yet.
-    fn has_complete_request(&self) -> bool {
-        self.client_connection.state().has_complete_request
+    /// Returns whether a request has arrived completely and its response is not complete yet.
+    fn awaits_response(&self) -> bool {
+        self.client_connection.state().awaits_response
     }
 
     /// Discards pipelined input that is larger than a head: a client that waits for responses does not send
@@ -136,7 +136,7 @@
     fn check_disconnected(&mut self) -> bool {
         let mut chunk = [0; 8 << 10];
         for _ in 0..MAX_CHECK_READS {
-            if self.has_ended || !self.has_complete_request() {
+            if self.has_ended || !self.awaits_response() {
                 break;
             }
             match (&*SockRef::from(&self.stream)).read(&mut chunk) {
@@ -245,7 +245,7 @@
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, output: &mut ReadBuf) -> Poll<io::Result<()>> {
         let reader = &mut *self.request_reader();
         loop {
-            if reader.has_complete_request() {
+            if reader.awaits_response() {
                 // Bytes that arrive now belong to the next call, and `poll_disconnected` detects the end.
                 reader.client_connection.state().reader_waker = Some(cx.waker().clone());
                 return Poll::Pending;
@@ -267,7 +267,7 @@
                 reader.searched = 0;
                 if reader.forwardable_bytes == 0 {
                     let mut state = reader.client_connection.state();
-                    (state.request_started_at, state.has_request_bytes, state.has_complete_request) =
+                    (state.request_started_at, state.has_request_bytes, state.awaits_response) =
                         (None, false, true);
                     state.idle_since = Instant::now();
                 }
--- a/crates/daemon/src/write_guard.rs
+++ b/crates/daemon/src/write_guard.rs
@@ -3,7 +3,7 @@
 //!
 //! Between the decision to start an attempt and its first byte, the attempt waits for a connection slot and a
 //! connect while other tasks run, and the process may be suspended at any point. The kernel may know of a
-//! disconnect that the engine has not been told of yet, so the client's socket is checked here.
+//! disconnect that the engine has not received yet, so the client's socket is checked here.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
