--- a/crates/cli/src/status_report.rs
+++ b/crates/cli/src/status_report.rs
@@ -1,5 +1,4 @@
-//! The report of the `status` command. Other programs parse the line that begins with `in force`, so its
-//! wording must not change.
+//! The report of the `status` command. Other programs parse it, so its wording must not change.
 
 use std::fmt::Write;
 
@@ -24,8 +23,8 @@
                 answered_count += 1;
                 write_voter(&mut report, *id, &status);
             }
-            Ok(_) => drop(writeln!(report, "voter {id} at {address}: unexpected response")),
-            Err(error) => drop(writeln!(report, "voter {id}: request failed: {error}")),
+            Ok(_) => drop(writeln!(report, "voter {id} at {address}: has answered something else")),
+            Err(error) => drop(writeln!(report, "voter {id}: not reached: {error}")),
         }
     }
     if answered_count == 0 {
@@ -37,17 +36,17 @@
 /// Writes the status of one voter.
 fn write_voter(report: &mut String, id: u64, status: &SchedulerStatus) {
     let lease = match status.version {
-        None => "no lease granted yet".to_owned(),
+        None => "acts on nothing yet".to_owned(),
         Some(version) if status.lease_remaining_ms > 0 => {
-            format!("version {version}, lease expires in {} ms", status.lease_remaining_ms)
+            format!("acts on {version}, {} ms of its lease left", status.lease_remaining_ms)
         }
-        Some(version) => format!("version {version}, degraded for {} ms", status.degraded_ms),
+        Some(version) => format!("acts carefully on {version} for {} ms", status.degraded_ms),
     };
     let _ = writeln!(report, "voter {id} ({}, {}): {lease}", status.name, status.program_version);
     let _ = match (&status.not_voting_reason, status.leader_id) {
         (Some(reason), _) => writeln!(report, "  does not vote: {reason}"),
-        (None, Some(leader)) => writeln!(report, "  leader: voter {leader}"),
-        (None, None) => writeln!(report, "  leader: unknown"),
+        (None, Some(leader)) => writeln!(report, "  voter {leader} leads"),
+        (None, None) => writeln!(report, "  knows nobody that leads"),
     };
     if let Some(rollout) = &status.rollout {
         write_rollout(report, rollout, status.max_overlap_ms);
@@ -64,7 +63,7 @@
         T {max_overlap_ms} ms"
     );
     if let Some(reason) = blocked_by {
-        let _ = writeln!(report, "  next step blocked: {reason}");
+        let _ = writeln!(report, "  the next step waits: {reason}");
     }
     for member in members {
         write_member(report, member);
@@ -74,13 +73,13 @@
 /// Writes the status of one member.
 fn write_member(report: &mut String, member: &MemberStatus) {
     let acknowledged = match member.acknowledged_version {
-        None => "no version acknowledged".to_owned(),
-        Some(version) => format!("acknowledged {version}"),
+        None => "nothing heard".to_owned(),
+        Some(version) => format!("has {version}"),
     };
     let lease = match member.lease_remaining_ms {
-        0 => "lease expired".to_owned(),
-        remaining_ms => format!("lease expires within {remaining_ms} ms"),
+        0 => "its lease is over".to_owned(),
+        remaining_ms => format!("its lease is over in {remaining_ms} ms at the latest"),
     };
     let MemberStatus { name, earliest_version: earliest, .. } = member;
-    let _ = writeln!(report, "  {name}: {acknowledged}, {lease}, earliest version it may act on: {earliest}");
+    let _ = writeln!(report, "  {name}: {acknowledged}, {lease}, may act on {earliest} at the earliest");
 }
