--- a/crates/daemon/src/acceptor.rs
+++ b/crates/daemon/src/acceptor.rs
@@ -177,7 +177,7 @@
 
 /// Descriptors or memory are short: tried again and again, accept would keep the processor from what frees them.
 async fn pause_accepting(error: &io::Error, shortages: &mut Throttle, shutdown: &Shutdown) {
-    if let Some(left_out) = shortages.write(Instant::now()) {
+    if let Some(left_out) = shortages.record(Instant::now()) {
         warn!(%error, left_out, "accept failed");
     }
     tokio::select! {
--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -263,7 +263,7 @@
                 return Err(Outcome::NotSent);
             }
             let http_request = request.to_http(attempt, guard.head_read);
-            let sent = connection.connection.send(http_request, guard).await;
+            let sent = connection.connection.send_attempt(http_request, guard).await;
             trace.written = connection.connection.bytes_written();
             if let Some(denial) = connection.connection.violation() {
                 violations::report(&self.counters, Operation::Write, denial, &request.request_id);
@@ -285,11 +285,11 @@
                 // The worker closed the idle connection, and not a byte was written.
                 WriteProgress::Nothing if connection.reused => preference = ConnectionPreference::New,
                 WriteProgress::Nothing | WriteProgress::Partial => {
-                    trace.why = Some(error.why);
+                    trace.why = Some(error.reason);
                     return Err(Outcome::ConnectFailed);
                 }
                 WriteProgress::Complete => {
-                    trace.why = Some(error.why);
+                    trace.why = Some(error.reason);
                     if connection.reused {
                         self.pool.distrust();
                     }
@@ -347,7 +347,7 @@
             while let Ok(line) = lines.next().await {
                 left -= 1;
                 if line.is_none() {
-                    return connection.connection.ready().await;
+                    return connection.connection.wait_until_ready().await;
                 } else if left == 0 {
                     return false;
                 }
@@ -388,8 +388,8 @@
             };
             let mut request = Request::new(Full::default());
             *request.uri_mut() = Uri::from_static("/load");
-            request.headers_mut().insert(HOST, host(address));
-            match lease.connection.ask(request).await {
+            request.headers_mut().insert(HOST, host_header(address));
+            match lease.connection.send_request(request).await {
                 Ok(answer) => break (lease, answer),
                 Err(broken) if lease.reused && broken.written == WriteProgress::Nothing => {
                     wanted = ConnectionPreference::New
@@ -401,7 +401,7 @@
         let Ok(body) = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES).collect().await else {
             return (Outcome::Reset, None);
         };
-        if lease.connection.ready().await {
+        if lease.connection.wait_until_ready().await {
             self.pool.give_back(lease);
         }
         let report = report_of(&body.to_bytes()).or(in_head);
@@ -409,13 +409,13 @@
     }
 
     /// Closes idle connections in time, for as long as the program runs.
-    pub async fn sweep(self: Arc<Self>) {
+    pub async fn close_expired_connections(self: Arc<Self>) {
         self.pool.sweep().await;
     }
 }
 
 /// The `Host` that stands for an address.
-pub fn host(address: SocketAddr) -> HeaderValue {
+pub fn host_header(address: SocketAddr) -> HeaderValue {
     HeaderValue::try_from(address.to_string()).unwrap_or_else(|_| HeaderValue::from_static("instance"))
 }
 
@@ -431,7 +431,7 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = Uri::from(self.target.clone());
         let headers = request.headers_mut();
-        headers.insert(HOST, host(attempt.address));
+        headers.insert(HOST, host_header(attempt.address));
         headers.insert("request-id", self.request_id.clone());
         headers.extend(self.headers.iter().cloned());
         headers.extend(attempt.rules_lease.as_ref().map(|rules_lease| (RULES, rules_lease.version.clone())));
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -96,7 +96,7 @@
 #[derive(Debug)]
 pub enum ConnectError {
     /// Nothing was heard: the other side may have vanished, or be cut off.
-    Silent,
+    TimedOut,
     /// The other side, or the way to it, refused.
     Refused(io::Error),
     /// It failed here for want of something that all connections need: nothing was asked of the other side.
@@ -107,7 +107,7 @@
 
 impl ConnectError {
     /// What an error of `socket` or `connect` tells.
-    pub fn of(error: io::Error) -> ConnectError {
+    pub fn from_io_error(error: io::Error) -> ConnectError {
         const NO_WAY: [i32; 6] = [
             libc::EADDRNOTAVAIL,
             libc::ENETUNREACH,
@@ -132,7 +132,7 @@
 impl fmt::Display for ConnectError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ConnectError::Silent => f.write_str("not up in time"),
+            ConnectError::TimedOut => f.write_str("not up in time"),
             ConnectError::Refused(error) => write!(f, "refused: {error}"),
             ConnectError::Shortage(error) => write!(f, "short of what a connection needs: {error}"),
             ConnectError::NoRoute(error) => write!(f, "no way out: {error}"),
@@ -144,7 +144,7 @@
 #[derive(Debug)]
 pub struct RequestError {
     pub written: WriteProgress,
-    pub why: String,
+    pub reason: String,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -164,9 +164,12 @@
     pub async fn open(address: SocketAddr, limit: Duration) -> Result<Connection, ConnectError> {
         let open = async {
             let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
-            let stream =
-                socket.map_err(ConnectError::of)?.connect(address).await.map_err(ConnectError::of)?;
-            stream.set_nodelay(true).map_err(ConnectError::of)?;
+            let stream = socket
+                .map_err(ConnectError::from_io_error)?
+                .connect(address)
+                .await
+                .map_err(ConnectError::from_io_error)?;
+            stream.set_nodelay(true).map_err(ConnectError::from_io_error)?;
             let out = Arc::<SendState>::default();
             let io = TokioIo::new(GuardedStream { stream, out: out.clone() });
             let handshaken = handshake(io).await;
@@ -180,28 +183,31 @@
             let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
             Ok(Connection { number, opened: Instant::now(), sender, out, driver: driver.abort_handle() })
         };
-        tokio::time::timeout(limit, open).await.unwrap_or(Err(ConnectError::Silent))
+        tokio::time::timeout(limit, open).await.unwrap_or(Err(ConnectError::TimedOut))
     }
 
     /// Whether another request may go out on it.
-    pub fn usable(&self) -> bool {
+    pub fn is_usable(&self) -> bool {
         self.sender.is_ready()
     }
 
     /// Waits until the last answer is done with.
-    pub async fn ready(&mut self) -> bool {
+    pub async fn wait_until_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
     /// Asks something that may be asked at any time: a probe, or a call to discovery.
-    pub async fn ask(&mut self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, RequestError> {
+    pub async fn send_request(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<Response<Incoming>, RequestError> {
         self.out.begin(None);
         self.exchange(request, None).await
     }
 
     /// Sends an attempt, each byte of it only by the guard's leave: where some of it is kept back, the request has not run,
     /// and the connection must be dropped. What was whole by then is waited for on.
-    pub async fn send(
+    pub async fn send_attempt(
         &mut self,
         request: Request<Full<Bytes>>,
         guard: WriteGuard,
@@ -258,7 +264,7 @@
             (0, None) => WriteProgress::Nothing,
             (_, None) => WriteProgress::Partial,
         };
-        Err(RequestError { written, why })
+        Err(RequestError { written, reason: why })
     }
 }
 
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -18,7 +18,7 @@
 use tokio::time::timeout;
 use tracing::{info, warn};
 
-use crate::attempt::host;
+use crate::attempt::host_header;
 use crate::connection::{ConnectError, Connection};
 use crate::endpoint_list::{EndpointList, EntryNames};
 use crate::json::{self, Field, JsonError};
@@ -286,8 +286,8 @@
     let mut request = Request::new(Full::<Bytes>::default());
     let uri = format!("/v1/servers?follow=1&since={since}");
     *request.uri_mut() = uri.parse().map_err(|e| failed(format!("request: {e}")))?;
-    request.headers_mut().insert(header::HOST, host(address));
-    let answer = connection.ask(request).await.map_err(|broken| failed(broken.why))?;
+    request.headers_mut().insert(header::HOST, host_header(address));
+    let answer = connection.send_request(request).await.map_err(|broken| failed(broken.reason))?;
     match answer.status() {
         StatusCode::OK => Ok(EstablishedWatch { _connection: connection, answer, waited: began.elapsed() }),
         status => Err(failed(format!("status {}", status.as_u16()))),
@@ -377,7 +377,7 @@
             }
             Err(why) => {
                 let there = match why {
-                    ConnectError::Silent => false,
+                    ConnectError::TimedOut => false,
                     _ => reachable(address, self.timing.connect()).await,
                 };
                 if !there {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -106,7 +106,7 @@
     let descriptors = Descriptors::of(config.sockets);
     let worker_client =
         WorkerClient::new(descriptors.workers, config.worker_connections, counters.clone(), queue.clone());
-    tokio::spawn(worker_client.clone().sweep());
+    tokio::spawn(worker_client.clone().close_expired_connections());
     let carry_out = move |order| match order {
         Command::StartAttempt(request) => drop(tokio::spawn(worker_client.clone().execute(request))),
         Command::Probe { worker, address } => {
--- a/crates/daemon/src/throttle.rs
+++ b/crates/daemon/src/throttle.rs
@@ -13,7 +13,7 @@
 
 impl Throttle {
     /// An event: `None` where it is only counted, else how many were left out since the last that was written.
-    pub fn write(&mut self, now: Instant) -> Option<u64> {
+    pub fn record(&mut self, now: Instant) -> Option<u64> {
         if self.last.is_some_and(|last| now.saturating_duration_since(last) < GAP) {
             self.left_out += 1;
             return None;
--- a/crates/daemon/src/worker_pool.rs
+++ b/crates/daemon/src/worker_pool.rs
@@ -100,7 +100,7 @@
         patience: Duration,
     ) -> Result<CheckedOutConnection, Outcome> {
         while let Some(pooled) = self.take(address, wanted) {
-            if pooled.connection.usable() {
+            if pooled.connection.is_usable() {
                 self.counters.reuses.add();
                 let IdleConnection { connection, permit, answered, .. } = pooled;
                 return Ok(CheckedOutConnection { connection, permit, address, reused: true, answered });
@@ -138,7 +138,7 @@
                 return Err(Outcome::ConnectFailed);
             }
             self.counters.local_failures.add();
-            if let Some(left_out) = lock(&self.shortages).write(Instant::now()) {
+            if let Some(left_out) = lock(&self.shortages).record(Instant::now()) {
                 warn!(%address, %error, left_out, "no connection can be made from here");
             }
             if began.elapsed() + LOCAL_PAUSE >= patience {
@@ -213,7 +213,7 @@
             tokio::time::sleep(Duration::from_secs(1)).await;
             let usable = self.worker_connections.idle.saturating_sub(IDLE_MARGIN);
             lock(&self.idle).retain(|_, idle| {
-                idle.retain(|pooled| pooled.since.elapsed() < usable && pooled.connection.usable());
+                idle.retain(|pooled| pooled.since.elapsed() < usable && pooled.connection.is_usable());
                 !idle.is_empty()
             });
         }
