--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -25,7 +25,9 @@
     AttemptId, AttemptRequest, AttemptResult, Event, RetrySafety, RulesLease, StopLevel,
 };
 use crate::violations;
-use crate::worker_answer::{head_outcome, head_report, report_of, MessageError, WorkerMessage};
+use crate::worker_answer::{
+    load_report_of_head, outcome_of_head, parse_load_report, MessageError, WorkerMessage,
+};
 use crate::worker_pool::{settled, CheckedOutConnection, ConnectionPreference, WorkerPool};
 use crate::write_guard::{ClientPresence, WriteGuard, HEAD_AGE};
 
@@ -213,7 +215,7 @@
             Ok(sent) => sent,
             Err(outcome) => return FinishedAttempt::without_response(outcome),
         };
-        let (mut outcome, report) = (head_outcome(&response), head_report(&response));
+        let (mut outcome, report) = (outcome_of_head(&response), load_report_of_head(&response));
         // A head names no job: this one may be of the job before, and proves nothing then.
         let may_be_of_other_job = !settled(connection.answered) && attempt.retry_safety != RetrySafety::Safe;
         if may_be_of_other_job && outcome.is_some_and(Outcome::never_ran) {
@@ -327,7 +329,7 @@
             if line.iter().all(u8::is_ascii_whitespace) {
                 continue;
             }
-            match WorkerMessage::read(&line, request.request_id.as_bytes()) {
+            match WorkerMessage::parse(&line, request.request_id.as_bytes()) {
                 Ok(WorkerMessage::Progress) => drop(self.queue.send(Event::Progress { id: attempt.id })),
                 Ok(WorkerMessage::Ended(end)) => return Ok(end),
                 Err(error) => {
@@ -397,14 +399,14 @@
                 Err(_) => return (Outcome::Reset, None),
             }
         };
-        let (status, in_head) = (answer.status(), head_report(&answer));
+        let (status, in_head) = (answer.status(), load_report_of_head(&answer));
         let Ok(body) = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES).collect().await else {
             return (Outcome::Reset, None);
         };
         if lease.connection.wait_until_ready().await {
             self.pool.give_back(lease);
         }
-        let report = report_of(&body.to_bytes()).or(in_head);
+        let report = parse_load_report(&body.to_bytes()).or(in_head);
         (if status == StatusCode::OK { Outcome::Ok } else { Outcome::Error }, report)
     }
 
--- a/crates/daemon/src/throttle.rs
+++ b/crates/daemon/src/throttle.rs
@@ -1,24 +1,27 @@
-//! Log lines that may come again and again: the first is written at once, and then one each second that counts the others.
+//! Rate limiting of repeated log lines: the first event is logged at once, and after that at most one per second,
+//! together with the number of events suppressed in between.
 
 use std::time::{Duration, Instant};
 
-const GAP: Duration = Duration::from_secs(1);
+/// The minimum time between two logged events.
+const MIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Decides which of many like events are written.
+/// Decides which of many similar events are logged.
 #[derive(Default)]
 pub struct Throttle {
-    last: Option<Instant>,
-    left_out: u64,
+    last_logged: Option<Instant>,
+    suppressed: u64,
 }
 
 impl Throttle {
-    /// An event: `None` where it is only counted, else how many were left out since the last that was written.
+    /// Records an event. Returns `None` if the event must not be logged, and otherwise the number of events suppressed
+    /// since the last logged one.
     pub fn record(&mut self, now: Instant) -> Option<u64> {
-        if self.last.is_some_and(|last| now.saturating_duration_since(last) < GAP) {
-            self.left_out += 1;
+        if self.last_logged.is_some_and(|last| now.saturating_duration_since(last) < MIN_INTERVAL) {
+            self.suppressed += 1;
             return None;
         }
-        self.last = Some(now);
-        Some(std::mem::take(&mut self.left_out))
+        self.last_logged = Some(now);
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
