--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -256,7 +256,7 @@
         loop {
             let mut connection = self.check_out(attempt, preference).await?;
             trace.connection = Some(connection.connection.number);
-            trace.kept_for = connection.reused.then(|| connection.connection.opened.elapsed());
+            trace.kept_for = connection.reused.then(|| connection.connection.opened_at.elapsed());
             let guard = attempt.write_guard(request);
             // A process that was stalled, or took long to connect, finds out here that it is too late.
             if let Err(denial) = guard.permit(false) {
@@ -274,7 +274,7 @@
                 Ok(response) => return Ok((connection, response)),
                 Err(error) => error,
             };
-            match error.written {
+            match error.progress {
                 // Too much time passed between its head and its first byte.
                 WriteProgress::Denied(Denial::HeadersOutdated) if rewrites < MAX_REWRITES => {
                     rewrites += 1;
@@ -393,7 +393,7 @@
             request.headers_mut().insert(HOST, host_header(address));
             match lease.connection.send_request(request).await {
                 Ok(answer) => break (lease, answer),
-                Err(broken) if lease.reused && broken.written == WriteProgress::Nothing => {
+                Err(broken) if lease.reused && broken.progress == WriteProgress::Nothing => {
                     wanted = ConnectionPreference::New
                 }
                 Err(_) => return (Outcome::Reset, None),
--- a/crates/daemon/src/connection.rs
+++ b/crates/daemon/src/connection.rs
@@ -1,5 +1,6 @@
-//! One client connection, as attempts, probes and the watch use it: hyper's plain HTTP/1.1 connection, which never resends,
-//! over a stream that counts what has been written and asks for leave before each write.
+//! An outgoing HTTP/1.1 connection, used for attempts, probes and the watch of discovery. It is hyper's
+//! low-level client connection, which never resends a request, over a stream that counts the bytes written
+//! and checks with a [`WriteGuard`] before each write.
 
 use std::fmt;
 use std::io::{self, IoSlice};
@@ -28,87 +29,91 @@
 
 /// A connection to a worker or to discovery.
 pub struct Connection {
-    /// Its own number, for logs.
+    /// The unique number of this connection, for logs.
     pub number: u64,
-    pub opened: Instant,
+    /// When the connection was established.
+    pub opened_at: Instant,
     sender: SendRequest<Full<Bytes>>,
-    out: Arc<SendState>,
+    send_state: Arc<SendState>,
     driver: AbortHandle,
 }
 
-/// What goes out on a connection.
+/// The bytes written on a connection, and the request that is being written.
 #[derive(Default)]
 struct SendState {
-    /// Bytes that the kernel has taken.
-    written: AtomicU64,
-    attempt: Mutex<AttemptWrite>,
+    /// Bytes that the kernel has accepted over the life of the connection.
+    bytes_written: AtomicU64,
+    current_request: Mutex<RequestWrite>,
 }
 
-/// The attempt that is being written.
+/// The state of the request that is being written.
 #[derive(Default)]
-struct AttemptWrite {
-    /// `None` for what is no attempt: probes, and calls to discovery.
+struct RequestWrite {
+    /// The guard of an attempt; `None` for probes and for requests to discovery.
     guard: Option<WriteGuard>,
-    /// Bytes of it that the kernel has taken.
-    bytes: u64,
-    /// Why it was not written on.
+    /// Bytes of this request that the kernel has accepted.
+    bytes_written: u64,
+    /// Why the guard denied a write.
     denied: Option<Denial>,
-    /// What a byte of it has broken that was written all the same.
-    broken: Option<Denial>,
+    /// The limit that a byte exceeded although the guard had permitted its write.
+    violation: Option<Denial>,
 }
 
 impl SendState {
-    fn attempt(&self) -> MutexGuard<'_, AttemptWrite> {
-        self.attempt.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_current_request(&self) -> MutexGuard<'_, RequestWrite> {
+        self.current_request.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes way for another request.
-    fn begin(&self, guard: Option<WriteGuard>) {
-        *self.attempt() = AttemptWrite { guard, ..AttemptWrite::default() };
+    /// Resets the state for the next request.
+    fn begin_request(&self, guard: Option<WriteGuard>) {
+        *self.lock_current_request() = RequestWrite { guard, ..RequestWrite::default() };
     }
 
-    /// Asks for leave to write.
-    fn permit(&self) -> io::Result<()> {
-        let mut attempt = self.attempt();
-        let denied = attempt.guard.as_ref().and_then(|guard| guard.permit(attempt.bytes > 0).err());
+    /// Checks whether the guard permits a write now, and records the denial if it does not.
+    fn check_write(&self) -> io::Result<()> {
+        let mut request = self.lock_current_request();
+        let denied = request.guard.as_ref().and_then(|guard| guard.permit(request.bytes_written > 0).err());
         let Some(denial) = denied else { return Ok(()) };
-        attempt.denied = Some(denial);
+        request.denied = Some(denial);
         Err(io::Error::other(denial.name()))
     }
 
-    fn count(&self, written: usize) {
-        self.written.fetch_add(written as u64, Ordering::Relaxed);
-        let mut attempt = self.attempt();
-        attempt.bytes += written as u64;
-        let broken = attempt.guard.as_ref().and_then(|guard| guard.broken_by(Instant::now()));
-        attempt.broken = attempt.broken.or(broken);
+    /// Counts bytes that the kernel has accepted. A process that stalls between the check and the write may
+    /// exceed a limit, which is recorded as a violation.
+    fn record_written(&self, written: usize) {
+        self.bytes_written.fetch_add(written as u64, Ordering::Relaxed);
+        let mut request = self.lock_current_request();
+        request.bytes_written += written as u64;
+        let violation = request.guard.as_ref().and_then(|guard| guard.broken_by(Instant::now()));
+        request.violation = request.violation.or(violation);
     }
 }
 
-/// Dropping a connection closes it, whatever was on it: that is how an attempt is given up.
+/// Dropping a connection closes it even while a request is in flight: this is how an attempt is aborted.
 impl Drop for Connection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
-/// Why there is no connection.
+/// Why a connection could not be opened.
 #[derive(Debug)]
 pub enum ConnectError {
-    /// Nothing was heard: the other side may have vanished, or be cut off.
+    /// The peer did not answer within the timeout: it may be down or partitioned away.
     TimedOut,
-    /// The other side, or the way to it, refused.
+    /// The peer, or the network on the way to it, refused the connection.
     Refused(io::Error),
-    /// It failed here for want of something that all connections need: nothing was asked of the other side.
+    /// The local system lacks a resource that every connection needs. The peer was not contacted.
     Shortage(io::Error),
-    /// There was no way out, or a signal came: of the other side it says something only if others can be reached.
+    /// The local system has no route or no free address, or a signal interrupted the call. This says
+    /// something about the peer only if other peers can be reached.
     NoRoute(io::Error),
 }
 
 impl ConnectError {
-    /// What an error of `socket` or `connect` tells.
+    /// Classifies an error of `socket` or `connect`.
     pub fn from_io_error(error: io::Error) -> ConnectError {
-        const NO_WAY: [i32; 6] = [
+        const NO_ROUTE_ERRNOS: [i32; 6] = [
             libc::EADDRNOTAVAIL,
             libc::ENETUNREACH,
             libc::ENETDOWN,
@@ -118,12 +123,12 @@
         ];
         match error.raw_os_error() {
             _ if is_shortage(&error) => ConnectError::Shortage(error),
-            Some(errno) if NO_WAY.contains(&errno) => ConnectError::NoRoute(error),
+            Some(errno) if NO_ROUTE_ERRNOS.contains(&errno) => ConnectError::NoRoute(error),
             _ => ConnectError::Refused(error),
         }
     }
 
-    /// Whether trying again soon may well succeed, for it was this side's trouble.
+    /// Returns whether the cause is local, so that a retry may soon succeed.
     pub fn is_local(&self) -> bool {
         matches!(self, ConnectError::Shortage(_) | ConnectError::NoRoute(_))
     }
@@ -132,21 +137,24 @@
 impl fmt::Display for ConnectError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ConnectError::TimedOut => f.write_str("not up in time"),
+            ConnectError::TimedOut => f.write_str("timed out"),
             ConnectError::Refused(error) => write!(f, "refused: {error}"),
-            ConnectError::Shortage(error) => write!(f, "short of what a connection needs: {error}"),
-            ConnectError::NoRoute(error) => write!(f, "no way out: {error}"),
+            ConnectError::Shortage(error) => write!(f, "out of a local resource: {error}"),
+            ConnectError::NoRoute(error) => write!(f, "no route: {error}"),
         }
     }
 }
 
-/// Why no answer came, and whether the request's last byte had been written by then.
+/// Why no response arrived, and how much of the request had been written by then.
 #[derive(Debug)]
 pub struct RequestError {
-    pub written: WriteProgress,
+    /// How much of the request had been written.
+    pub progress: WriteProgress,
+    /// The cause, for logs.
     pub reason: String,
 }
 
+/// How much of a request the kernel has accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WriteProgress {
     /// No byte has been written.
@@ -155,13 +163,17 @@
     Partial,
     /// All bytes have been written.
     Complete,
-    /// The last byte has not been written, and no further byte may be.
+    /// The last byte has not been written, and the guard denied further writes.
     Denied(Denial),
 }
 
 impl Connection {
-    /// Opens one, within a time.
-    pub async fn open(address: SocketAddr, limit: Duration) -> Result<Connection, ConnectError> {
+    /// Opens a connection.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection is not established within `connect_timeout`.
+    pub async fn open(address: SocketAddr, connect_timeout: Duration) -> Result<Connection, ConnectError> {
         let open = async {
             let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
             let stream = socket
@@ -170,116 +182,135 @@
                 .await
                 .map_err(ConnectError::from_io_error)?;
             stream.set_nodelay(true).map_err(ConnectError::from_io_error)?;
-            let out = Arc::<SendState>::default();
-            let io = TokioIo::new(GuardedStream { stream, out: out.clone() });
-            let handshaken = handshake(io).await;
+            let send_state = Arc::<SendState>::default();
+            let io = TokioIo::new(GuardedStream { stream, send_state: send_state.clone() });
+            let handshake_result = handshake(io).await;
             let (sender, connection) =
-                handshaken.map_err(|e| ConnectError::Refused(io::Error::other(e.to_string())))?;
+                handshake_result.map_err(|e| ConnectError::Refused(io::Error::other(e.to_string())))?;
             let driver = tokio::spawn(async move {
-                // What ends it also ends the request on it, which tells why.
+                // The error also fails the request in flight, which reports it.
                 let _ = connection.await;
             });
-            static NUMBERS: AtomicU64 = AtomicU64::new(0);
-            let number = NUMBERS.fetch_add(1, Ordering::Relaxed);
-            Ok(Connection { number, opened: Instant::now(), sender, out, driver: driver.abort_handle() })
+            static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
+            let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+            Ok(Connection {
+                number,
+                opened_at: Instant::now(),
+                sender,
+                send_state,
+                driver: driver.abort_handle(),
+            })
         };
-        tokio::time::timeout(limit, open).await.unwrap_or(Err(ConnectError::TimedOut))
+        tokio::time::timeout(connect_timeout, open).await.unwrap_or(Err(ConnectError::TimedOut))
     }
 
-    /// Whether another request may go out on it.
+    /// Returns whether the connection can take another request.
     pub fn is_usable(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Waits until the last answer is done with.
+    /// Waits until the last response has been read to its end. Returns whether the connection can take
+    /// another request.
     pub async fn wait_until_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Asks something that may be asked at any time: a probe, or a call to discovery.
+    /// Sends a request that needs no write guard: a probe, or a request to discovery.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no response arrives.
     pub async fn send_request(
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, RequestError> {
-        self.out.begin(None);
+        self.send_state.begin_request(None);
         self.exchange(request, None).await
     }
 
-    /// Sends an attempt, each byte of it only by the guard's leave: where some of it is kept back, the request has not run,
-    /// and the connection must be dropped. What was whole by then is waited for on.
+    /// Sends an attempt. Bytes are written only while the guard permits them. If the guard denies some of
+    /// them, the request has not run, and the connection must be dropped. Once the request is completely
+    /// written, the guard no longer limits the wait for the response.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no response arrives.
     pub async fn send_attempt(
         &mut self,
         request: Request<Full<Bytes>>,
         guard: WriteGuard,
     ) -> Result<Response<Incoming>, RequestError> {
-        let by = guard.write_by();
-        self.out.begin(Some(guard));
-        self.exchange(request, by).await
+        let write_deadline = guard.write_by();
+        self.send_state.begin_request(Some(guard));
+        self.exchange(request, write_deadline).await
     }
 
-    /// How many bytes of the last request on it the kernel has taken.
+    /// Returns how many bytes of the last request the kernel has accepted.
     pub fn bytes_written(&self) -> u64 {
-        self.out.attempt().bytes
+        self.send_state.lock_current_request().bytes_written
     }
 
-    /// What the attempt on it has broken in the write, if anything.
+    /// Returns the limit that a write of the last attempt exceeded, if any.
     pub fn violation(&self) -> Option<Denial> {
-        self.out.attempt().broken
+        self.send_state.lock_current_request().violation
     }
 
+    /// Sends a request and waits for the head of its response.
     async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
-        by: Option<Instant>,
+        write_deadline: Option<Instant>,
     ) -> Result<Response<Incoming>, RequestError> {
-        let (whole, out) = (size(&request), self.out.clone());
-        let before = out.written.load(Ordering::Relaxed);
-        let written = || out.written.load(Ordering::Relaxed) - before;
-        let overdue = async {
-            match by {
-                Some(by) => sleep_until(by.into()).await,
+        let (request_size, send_state) = (encoded_size(&request), self.send_state.clone());
+        let written_before = send_state.bytes_written.load(Ordering::Relaxed);
+        let request_bytes_written = || send_state.bytes_written.load(Ordering::Relaxed) - written_before;
+        let write_timeout = async {
+            match write_deadline {
+                Some(deadline) => sleep_until(deadline.into()).await,
                 None => std::future::pending().await,
             }
-            if written() >= whole {
+            if request_bytes_written() >= request_size {
                 std::future::pending::<()>().await;
             }
         };
-        let why = tokio::select! {
+        let reason = tokio::select! {
             biased;
-            answer = self.sender.send_request(request) => match answer {
-                Ok(answer) => return Ok(answer),
-                Err(why) => why.to_string(),
+            response = self.sender.send_request(request) => match response {
+                Ok(response) => return Ok(response),
+                Err(error) => error.to_string(),
             },
-            () = overdue => "not written in time".to_owned(),
+            () = write_timeout => "not written in time".to_owned(),
         };
-        let bytes = written();
-        if bytes < whole {
-            // One that is overdue was not asked about again.
-            let _ = out.permit();
+        let bytes_written = request_bytes_written();
+        if bytes_written < request_size {
+            // After a write timeout the guard has not been checked yet: this records its denial.
+            let _ = send_state.check_write();
         }
-        let denied = out.attempt().denied;
-        let written = match (bytes, denied) {
-            (n, _) if n >= whole => WriteProgress::Complete,
+        let denied = send_state.lock_current_request().denied;
+        let progress = match (bytes_written, denied) {
+            (n, _) if n >= request_size => WriteProgress::Complete,
             (_, Some(denial)) => WriteProgress::Denied(denial),
             (0, None) => WriteProgress::Nothing,
             (_, None) => WriteProgress::Partial,
         };
-        Err(RequestError { written, reason: why })
+        Err(RequestError { progress, reason })
     }
 }
 
-/// The bytes that a request takes on the wire. All its headers must be set: hyper then adds none.
-fn size(request: &Request<Full<Bytes>>) -> u64 {
-    let line = request.method().as_str().len() + 1 + request.uri().to_string().len() + " HTTP/1.1\r\n".len();
+/// Returns the number of bytes that a request takes on the wire. The request must have all its headers
+/// already, because hyper then adds none.
+fn encoded_size(request: &Request<Full<Bytes>>) -> u64 {
+    let request_line =
+        request.method().as_str().len() + 1 + request.uri().to_string().len() + " HTTP/1.1\r\n".len();
     let headers: usize = request.headers().iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
     let body = hyper::body::Body::size_hint(request.body()).lower();
-    (line + headers + 2) as u64 + body
+    (request_line + headers + 2) as u64 + body
 }
 
-/// A stream that counts the bytes the kernel has taken from it, and asks for leave before it hands them over.
+/// A stream that checks the write guard before each write, and counts the bytes that the kernel accepts.
 struct GuardedStream {
     stream: TcpStream,
-    out: Arc<SendState>,
+    send_state: Arc<SendState>,
 }
 
 impl GuardedStream {
@@ -287,10 +318,10 @@
         &mut self,
         mut write: impl FnMut(Pin<&mut TcpStream>) -> Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        self.out.permit()?;
+        self.send_state.check_write()?;
         let written = uninterrupted(|| write(Pin::new(&mut self.stream)));
         if let Poll::Ready(Ok(n)) = written {
-            self.out.count(n);
+            self.send_state.record_written(n);
         }
         written
     }
--- a/crates/daemon/src/throttle.rs
+++ b/crates/daemon/src/throttle.rs
@@ -1,5 +1,5 @@
-//! Rate limiting of repeated log lines: the first event is logged at once, and after that at most one per second,
-//! together with the number of events suppressed in between.
+//! Rate limiting of repeated log lines: the first event is logged at once, and after that at most one per
+//! second, together with the number of events suppressed in between.
 
 use std::time::{Duration, Instant};
 
@@ -14,8 +14,8 @@
 }
 
 impl Throttle {
-    /// Records an event. Returns `None` if the event must not be logged, and otherwise the number of events suppressed
-    /// since the last logged one.
+    /// Records an event. Returns `None` if the event must not be logged, and otherwise the number of events
+    /// suppressed since the last logged one.
     pub fn record(&mut self, now: Instant) -> Option<u64> {
         if self.last_logged.is_some_and(|last| now.saturating_duration_since(last) < MIN_INTERVAL) {
             self.suppressed += 1;
--- a/crates/daemon/src/worker_answer.rs
+++ b/crates/daemon/src/worker_answer.rs
@@ -13,7 +13,8 @@
 use crate::json::{self, JsonError};
 use crate::scheduler_loop::AttemptResult;
 
-/// Returns the outcome if the head of the response determines it. After status 200, the lines of the body determine it.
+/// Returns the outcome if the head of the response determines it. After status 200, the lines of the body
+/// determine it.
 pub fn outcome_of_head(response: &Response<Incoming>) -> Option<Outcome> {
     let not_started = response.headers().get("not-started").is_some_and(|v| v.as_bytes() == b"1");
     match response.status().as_u16() {
@@ -55,8 +56,8 @@
     }
 }
 
-/// Sets the field of a load report that is called `name`, and ignores unknown names. The configuration uses the names of
-/// the simulator; load reports on the network use those of the deployment.
+/// Sets the field of a load report that is called `name`, and ignores unknown names. The configuration uses
+/// the simulator's names of the fields; reports on the network use those of the deployment.
 fn set_field(report: &mut LoadReport, name: &str, value: Option<f64>) {
     match name {
         "x0" => report.free_slots = value,
