--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -28,7 +28,7 @@
 use crate::worker_answer::{
     load_report_of_head, outcome_of_head, parse_load_report, MessageError, WorkerMessage,
 };
-use crate::worker_pool::{settled, CheckedOutConnection, ConnectionPreference, WorkerPool};
+use crate::worker_pool::{is_settled, CheckedOutConnection, ConnectionPreference, WorkerPool};
 use crate::write_guard::{ClientPresence, WriteGuard, HEAD_AGE};
 
 /// What is forwarded unchanged from a client's request, and the client that sent it.
@@ -217,7 +217,8 @@
         };
         let (mut outcome, report) = (outcome_of_head(&response), load_report_of_head(&response));
         // A head names no job: this one may be of the job before, and proves nothing then.
-        let may_be_of_other_job = !settled(connection.answered) && attempt.retry_safety != RetrySafety::Safe;
+        let may_be_of_other_job =
+            !is_settled(connection.last_response_at) && attempt.retry_safety != RetrySafety::Safe;
         if may_be_of_other_job && outcome.is_some_and(Outcome::never_ran) {
             outcome = Some(Outcome::Reset);
         }
@@ -293,7 +294,7 @@
                 WriteProgress::Complete => {
                     trace.why = Some(error.reason);
                     if connection.reused {
-                        self.pool.distrust();
+                        self.pool.suspend_reuse();
                     }
                     return Err(Outcome::Reset);
                 }
@@ -312,7 +313,7 @@
             biased;
             () = stopped(attempt.stop.clone(), StopLevel::IfUnstarted) => Err(Outcome::NotSent),
             () = tokio::time::sleep_until(attempt.give_up_at().into()) => Err(Outcome::NotSent),
-            connection = self.pool.lease(attempt.address, preference, self.worker_connections.connect) => connection,
+            connection = self.pool.check_out(attempt.address, preference, self.worker_connections.connect) => connection,
         }
     }
 
@@ -357,7 +358,7 @@
             false
         };
         if timeout(TAIL, tail).await == Ok(true) {
-            connection.answered = Some(Instant::now());
+            connection.last_response_at = Some(Instant::now());
             self.pool.give_back(connection);
         }
     }
@@ -375,7 +376,7 @@
         if matches!(outcome, Outcome::Timeout | Outcome::ConnectFailed) {
             // It is stuck or has vanished. Back again, it resets what it had before: a job sent on one of
             // those would end as if it might have run.
-            self.pool.forget(address);
+            self.pool.close_idle(address);
         }
         debug!(instance = worker, outcome = %outcome_name(outcome), ?report, "probed");
         let _ = self.queue.send(Event::ProbeCompleted { worker, outcome, report });
@@ -384,7 +385,7 @@
     async fn ask_load(&self, address: SocketAddr) -> (Outcome, Option<LoadReport>) {
         let mut wanted = ConnectionPreference::Any;
         let (mut lease, answer) = loop {
-            let mut lease = match self.pool.lease(address, wanted, PROBE_PATIENCE).await {
+            let mut lease = match self.pool.check_out(address, wanted, PROBE_PATIENCE).await {
                 Ok(lease) => lease,
                 Err(outcome) => return (outcome, None),
             };
@@ -412,7 +413,7 @@
 
     /// Closes idle connections in time, for as long as the program runs.
     pub async fn close_expired_connections(self: Arc<Self>) {
-        self.pool.sweep().await;
+        self.pool.close_expired_connections().await;
     }
 }
 
--- a/crates/daemon/src/worker_pool.rs
+++ b/crates/daemon/src/worker_pool.rs
@@ -1,4 +1,5 @@
-//! Connections to workers: opened within the share of descriptors, kept for a while, and used again.
+//! A pool of connections to workers. It opens connections within the workers' share of file descriptors,
+//! keeps idle ones for a limited time, and reuses them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,59 +16,68 @@
 use crate::counters::SharedCounters;
 use crate::throttle::Throttle;
 
-/// A connection this near to the end of its idle time is not used again: a request that crosses the
-/// worker's close ends as a reset, after which the job may have run.
+/// A connection is not reused this close to the end of its idle timeout: if the request crosses the worker's
+/// close, the attempt ends with a reset, after which the job may have run.
 const IDLE_MARGIN: Duration = Duration::from_millis(1500);
-/// A second answer to a job may come some milliseconds after the first (the page on the trial). On a connection that has
-/// carried none for so long it has shown: hyper closes one on which anything comes unasked for.
-const SETTLED: Duration = Duration::from_millis(100);
-/// For how long no kept connection is used again after one was reset under its next request.
-const DISTRUST: Duration = Duration::from_secs(10);
-/// A connection that could not be made for a shortage here is tried again this soon.
-const LOCAL_PAUSE: Duration = Duration::from_millis(20);
-
+/// A worker may send a second response to a job some milliseconds after the first. On a connection without a
+/// response for this long, a second one would have arrived, and hyper closes a connection that receives an
+/// unsolicited response.
+const SETTLE_TIME: Duration = Duration::from_millis(100);
+/// How long no idle connection is reused after a worker reset one under its next request.
+const REUSE_SUSPENSION: Duration = Duration::from_secs(10);
+/// The time between attempts to open a connection that fails for a local reason.
+const LOCAL_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+
+/// An open connection that carries no request.
 struct IdleConnection {
     connection: Connection,
-    since: Instant,
-    /// When it last had the answer to a job.
-    answered: Option<Instant>,
+    idle_since: Instant,
+    /// When the last response to a job was completely read.
+    last_response_at: Option<Instant>,
     permit: OwnedSemaphorePermit,
 }
 
-/// Whether a connection that had its last answer then has settled.
-pub fn settled(answered: Option<Instant>) -> bool {
-    answered.is_none_or(|at| at.elapsed() >= SETTLED)
+/// Returns whether a connection with its last response at this time can no longer receive a second one.
+pub fn is_settled(last_response_at: Option<Instant>) -> bool {
+    last_response_at.is_none_or(|at| at.elapsed() >= SETTLE_TIME)
 }
 
-/// A connection in use. Dropped, it closes.
+/// A connection in use. Dropping it closes the connection.
 pub struct CheckedOutConnection {
     pub connection: Connection,
     permit: OwnedSemaphorePermit,
+    /// The address of the worker.
     pub address: SocketAddr,
+    /// Whether the connection has carried a request before.
     pub reused: bool,
-    pub answered: Option<Instant>,
+    /// When the last response to a job was completely read.
+    pub last_response_at: Option<Instant>,
 }
 
-/// Which connection will do.
+/// Which connections a caller accepts.
 #[derive(Clone, Copy, PartialEq)]
 pub enum ConnectionPreference {
+    /// Any connection, reused if possible.
     Any,
-    /// A new one, or a kept one that has settled.
+    /// A new connection, or an idle one that has settled (see [`is_settled`]).
     Settled,
+    /// A new connection.
     New,
 }
 
 /// The connections to all workers.
 pub struct WorkerPool {
-    /// Until when kept connections are not trusted.
-    distrust: Mutex<Option<Instant>>,
+    /// When idle connections may be reused again; `None` if reuse was never suspended.
+    reuse_suspended_until: Mutex<Option<Instant>>,
     idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
+    /// One permit per connection that may be open.
     permits: Arc<Semaphore>,
     worker_connections: WorkerConnectionConfig,
     counters: SharedCounters,
-    /// When a connection last came up.
-    came_up: Mutex<Option<Instant>>,
-    shortages: Mutex<Throttle>,
+    /// When a connection to any worker was last established.
+    last_connected_at: Mutex<Option<Instant>>,
+    /// Limits the log lines about local failures.
+    local_failure_log: Mutex<Throttle>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -75,145 +85,164 @@
 }
 
 impl WorkerPool {
-    /// One of at most so many connections.
+    /// Creates a pool of at most `max_connections` connections, idle ones included.
     pub fn new(
-        most: usize,
+        max_connections: usize,
         worker_connections: WorkerConnectionConfig,
         counters: SharedCounters,
     ) -> WorkerPool {
         WorkerPool {
-            distrust: Mutex::default(),
+            reuse_suspended_until: Mutex::default(),
             idle: Mutex::default(),
-            permits: Arc::new(Semaphore::new(most)),
+            permits: Arc::new(Semaphore::new(max_connections)),
             worker_connections,
             counters,
-            came_up: Mutex::default(),
-            shortages: Mutex::default(),
+            last_connected_at: Mutex::default(),
+            local_failure_log: Mutex::default(),
         }
     }
 
-    /// A connection to a worker, or what has become of the attempt without one. What fails here is tried again for so long.
-    pub async fn lease(
+    /// Takes an idle connection to a worker or opens a new one. Local failures to open one are retried for
+    /// `local_retry_limit`.
+    ///
+    /// # Errors
+    ///
+    /// Returns the outcome of an attempt for which there is no connection.
+    pub async fn check_out(
         &self,
         address: SocketAddr,
-        wanted: ConnectionPreference,
-        patience: Duration,
+        preference: ConnectionPreference,
+        local_retry_limit: Duration,
     ) -> Result<CheckedOutConnection, Outcome> {
-        while let Some(pooled) = self.take(address, wanted) {
+        while let Some(pooled) = self.take_idle(address, preference) {
             if pooled.connection.is_usable() {
                 self.counters.reuses.add();
-                let IdleConnection { connection, permit, answered, .. } = pooled;
-                return Ok(CheckedOutConnection { connection, permit, address, reused: true, answered });
+                let IdleConnection { connection, permit, last_response_at, .. } = pooled;
+                return Ok(CheckedOutConnection {
+                    connection,
+                    permit,
+                    address,
+                    reused: true,
+                    last_response_at,
+                });
             }
         }
         let permit = match self.permits.clone().try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
-                // All descriptors are in use: an idle connection to some other worker gives way.
-                self.drop_oldest();
+                // All permits are in use: an idle connection to any worker is closed to free one.
+                self.close_longest_idle();
                 let permit =
                     timeout(self.worker_connections.connect, self.permits.clone().acquire_owned()).await;
-                // The worker has no part in that.
+                // The worker is not the cause, so that this does not count as a connect failure.
                 permit.ok().and_then(Result::ok).ok_or(Outcome::NotSent)?
             }
         };
-        let connection = self.open(address, patience).await?;
-        Ok(CheckedOutConnection { connection, permit, address, reused: false, answered: None })
+        let connection = self.open(address, local_retry_limit).await?;
+        Ok(CheckedOutConnection { connection, permit, address, reused: false, last_response_at: None })
     }
 
-    /// Opens a connection; a worker is not blamed for what this side lacks.
-    async fn open(&self, address: SocketAddr, patience: Duration) -> Result<Connection, Outcome> {
-        let began = Instant::now();
+    /// Opens a connection. A local failure is retried, and counts against the worker only as
+    /// [`Self::outcome_of_local_failure`] decides.
+    async fn open(&self, address: SocketAddr, local_retry_limit: Duration) -> Result<Connection, Outcome> {
+        let started_at = Instant::now();
         loop {
             self.counters.connects.add();
             let error = match Connection::open(address, self.worker_connections.connect).await {
                 Ok(connection) => {
-                    *lock(&self.came_up) = Some(Instant::now());
+                    *lock(&self.last_connected_at) = Some(Instant::now());
                     return Ok(connection);
                 }
                 Err(error) => error,
             };
             if !error.is_local() {
-                debug!(%address, %error, "could not connect");
+                debug!(%address, %error, "cannot connect to the worker");
                 return Err(Outcome::ConnectFailed);
             }
             self.counters.local_failures.add();
-            if let Some(left_out) = lock(&self.shortages).record(Instant::now()) {
-                warn!(%address, %error, left_out, "no connection can be made from here");
+            if let Some(left_out) = lock(&self.local_failure_log).record(Instant::now()) {
+                warn!(%address, %error, left_out, "cannot open a connection because of a local failure");
             }
-            if began.elapsed() + LOCAL_PAUSE >= patience {
-                return Err(self.blame(&error, began));
+            if started_at.elapsed() + LOCAL_RETRY_INTERVAL >= local_retry_limit {
+                return Err(self.outcome_of_local_failure(&error, started_at));
             }
-            tokio::time::sleep(LOCAL_PAUSE).await;
+            tokio::time::sleep(LOCAL_RETRY_INTERVAL).await;
         }
     }
 
-    /// What an attempt that could not be made for a local error comes to: no way to this worker, while there is one to
-    /// others, is this worker's.
-    fn blame(&self, error: &ConnectError, began: Instant) -> Outcome {
-        let others_reached = lock(&self.came_up).is_some_and(|at| at >= began);
+    /// Returns the outcome of an attempt without a connection because of a local failure. A missing route
+    /// counts as a failure of the worker if another connection was established in the meantime.
+    fn outcome_of_local_failure(&self, error: &ConnectError, started_at: Instant) -> Outcome {
+        let others_connected = lock(&self.last_connected_at).is_some_and(|at| at >= started_at);
         match error {
-            ConnectError::NoRoute(_) if others_reached => Outcome::ConnectFailed,
+            ConnectError::NoRoute(_) if others_connected => Outcome::ConnectFailed,
             _ => Outcome::NotSent,
         }
     }
 
-    /// Workers that reset kept connections under the next request do so again, and nothing shows it before:
-    /// each time a job may have run. A new connection costs a few milliseconds instead.
-    pub fn distrust(&self) {
+    /// Closes all idle connections and suspends their reuse for a while. A worker that resets an idle
+    /// connection under its next request is likely to do so again, nothing indicates it beforehand, and each
+    /// time the job may have run. A new connection costs only a few milliseconds.
+    pub fn suspend_reuse(&self) {
         self.counters.distrusts.add();
-        *lock(&self.distrust) = Some(Instant::now() + DISTRUST);
+        *lock(&self.reuse_suspended_until) = Some(Instant::now() + REUSE_SUSPENSION);
         lock(&self.idle).clear();
     }
 
-    fn trusting(&self) -> bool {
-        lock(&self.distrust).is_none_or(|until| until < Instant::now())
+    /// Returns whether idle connections may be reused.
+    fn reuse_allowed(&self) -> bool {
+        lock(&self.reuse_suspended_until).is_none_or(|suspended_until| suspended_until < Instant::now())
     }
 
-    /// The connection used last that will do: the others may then close for idleness.
-    fn take(&self, address: SocketAddr, wanted: ConnectionPreference) -> Option<IdleConnection> {
-        let will_do = |pooled: &IdleConnection| match wanted {
+    /// Takes the most recently used idle connection that the caller accepts, so that the others can reach
+    /// their idle timeout.
+    fn take_idle(&self, address: SocketAddr, preference: ConnectionPreference) -> Option<IdleConnection> {
+        let is_acceptable = |pooled: &IdleConnection| match preference {
             ConnectionPreference::Any => true,
-            ConnectionPreference::Settled => settled(pooled.answered),
+            ConnectionPreference::Settled => is_settled(pooled.last_response_at),
             ConnectionPreference::New => false,
         };
-        let usable = self.worker_connections.idle.saturating_sub(IDLE_MARGIN);
-        let mut all = lock(&self.idle);
-        let idle = all.get_mut(&address)?;
-        let last = idle.iter().rposition(will_do)?;
-        let pooled = idle.remove(last);
-        (pooled.since.elapsed() < usable).then_some(pooled)
+        let max_idle = self.worker_connections.idle.saturating_sub(IDLE_MARGIN);
+        let mut idle_by_address = lock(&self.idle);
+        let idle = idle_by_address.get_mut(&address)?;
+        let position = idle.iter().rposition(is_acceptable)?;
+        let pooled = idle.remove(position);
+        (pooled.idle_since.elapsed() < max_idle).then_some(pooled)
     }
 
-    /// Keeps a connection on which nothing is open.
-    pub fn give_back(&self, lease: CheckedOutConnection) {
-        let CheckedOutConnection { connection, permit, address, answered, .. } = lease;
-        let pooled = IdleConnection { connection, since: Instant::now(), answered, permit };
-        if self.trusting() {
+    /// Returns a connection without a request in flight to the pool.
+    pub fn give_back(&self, checked_out: CheckedOutConnection) {
+        let CheckedOutConnection { connection, permit, address, last_response_at, .. } = checked_out;
+        let pooled = IdleConnection { connection, idle_since: Instant::now(), last_response_at, permit };
+        if self.reuse_allowed() {
             lock(&self.idle).entry(address).or_default().push(pooled);
         }
     }
 
-    /// Closes what is kept to a worker.
-    pub fn forget(&self, address: SocketAddr) {
+    /// Closes the idle connections to a worker.
+    pub fn close_idle(&self, address: SocketAddr) {
         lock(&self.idle).remove(&address);
     }
 
-    fn drop_oldest(&self) {
-        let mut all = lock(&self.idle);
-        let oldest = all.iter().filter_map(|(address, idle)| Some((idle.first()?.since, *address))).min();
-        if let Some(idle) = oldest.and_then(|(_, address)| all.get_mut(&address)) {
+    /// Closes the connection that has been idle for longest.
+    fn close_longest_idle(&self) {
+        let mut idle_by_address = lock(&self.idle);
+        let oldest = idle_by_address
+            .iter()
+            .filter_map(|(address, idle)| Some((idle.first()?.idle_since, *address)))
+            .min();
+        if let Some(idle) = oldest.and_then(|(_, address)| idle_by_address.get_mut(&address)) {
             idle.remove(0);
         }
     }
 
-    /// Closes, for as long as the program runs, what has been idle too long to be used again.
-    pub async fn sweep(&self) {
+    /// Periodically closes connections that have been idle for too long to be reused. Never returns.
+    pub async fn close_expired_connections(&self) {
         loop {
             tokio::time::sleep(Duration::from_secs(1)).await;
-            let usable = self.worker_connections.idle.saturating_sub(IDLE_MARGIN);
+            let max_idle = self.worker_connections.idle.saturating_sub(IDLE_MARGIN);
             lock(&self.idle).retain(|_, idle| {
-                idle.retain(|pooled| pooled.since.elapsed() < usable && pooled.connection.is_usable());
+                idle.retain(|pooled| pooled.idle_since.elapsed() < max_idle && pooled.connection.is_usable());
                 !idle.is_empty()
             });
         }
