--- a/crates/daemon/src/attempt.rs
+++ b/crates/daemon/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts and probes of workers, over pooled connections.
+//! Sends attempts and probes to workers over pooled connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,35 +31,37 @@
 use crate::worker_pool::{is_settled, CheckedOutConnection, ConnectionPreference, WorkerPool};
 use crate::write_guard::{ClientPresence, WriteGuard, HEAD_AGE};
 
-/// What is forwarded unchanged from a client's request, and the client that sent it.
+/// The parts of a client's request that are forwarded unchanged, and the client that sent it.
 pub struct ForwardedRequest {
     /// The method of the client's request.
     pub method: Method,
     /// The path and query of the client's request.
     pub target: PathAndQuery,
-    /// The id that the client gave its request.
+    /// The id that the client assigned to the request.
     pub request_id: HeaderValue,
-    /// Further headers that go on as they came.
+    /// Further headers, forwarded unchanged.
     pub headers: Vec<(HeaderName, HeaderValue)>,
     /// The body of the client's request.
     pub body: Bytes,
-    /// Whether the client is still there.
+    /// Tells whether the client is still connected.
     pub client: ClientPresence,
 }
 
-/// The version of the rules that an attempt was decided under; absent where none are agreed on.
-const RULES: HeaderName = HeaderName::from_static("nickelflow-rules");
-/// The longest line and body read from a worker.
+/// The header with the version of the rules that an attempt is based on; omitted where no rules are in force.
+const RULES_HEADER: HeaderName = HeaderName::from_static("nickelflow-rules");
+/// The maximum size of a line of a job's response, and of the body of a load report.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
-/// A probe is answered beside the queue; one that takes longer finds a stuck worker.
-const PROBE: Duration = Duration::from_millis(250);
-/// A probe that ran out so much later than its time says that this process stood still, and nothing of the worker.
-const STOOD_STILL: Duration = Duration::from_millis(50);
-/// For how long a probe waits for what this side lacks.
-const PROBE_PATIENCE: Duration = Duration::from_millis(100);
-/// For how long the end of an answer is waited for, so that its connection can serve again.
-const TAIL: Duration = Duration::from_secs(1);
-/// How often an attempt is written anew whose head has grown old before its first byte.
+/// The timeout of a probe. Workers answer probes without queueing them, so that a worker that takes longer
+/// is stuck.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// A probe that times out this much too late shows that this process stalled, and says nothing about the
+/// worker.
+const STALL_THRESHOLD: Duration = Duration::from_millis(50);
+/// How long a probe retries local failures to open a connection.
+const PROBE_LOCAL_RETRY_LIMIT: Duration = Duration::from_millis(100);
+/// How long the end of a response is awaited, so that its connection can be reused.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
+/// How often an attempt is rewritten because its head became outdated before its first byte was written.
 const MAX_REWRITES: u32 = 3;
 
 /// The scheduler's client of all workers.
@@ -67,7 +69,7 @@
     pool: WorkerPool,
     worker_connections: WorkerConnectionConfig,
     counters: SharedCounters,
-    queue: mpsc::UnboundedSender<Event<ForwardedRequest>>,
+    event_queue: mpsc::UnboundedSender<Event<ForwardedRequest>>,
 }
 
 /// The parameters of one attempt.
@@ -77,50 +79,53 @@
     deadline: Instant,
     stop: watch::Receiver<StopLevel>,
     rules_lease: Option<RulesLease>,
-    /// No byte of it is written from then on, for a repeat's window is over.
-    send_by: Option<Instant>,
+    /// When the deduplication window of a resent request ends: no byte is written from then on.
+    resend_deadline: Option<Instant>,
     retry_safety: RetrySafety,
 }
 
 impl Attempt {
-    /// Until when its rules hold.
+    /// Returns when the rules that the attempt is based on expire.
     fn rules_valid_until(&self) -> Option<Instant> {
         self.rules_lease.as_ref().and_then(|rules_lease| rules_lease.valid_until)
     }
 
-    /// Returns the guard for its write, which begins now.
+    /// Returns the guard for writing the attempt, with a head that is built now.
     fn write_guard(&self, request: &ForwardedRequest) -> WriteGuard {
         WriteGuard {
             stop: self.stop.clone(),
             client: request.client.clone(),
             deadline: self.deadline,
-            resend_deadline: self.send_by,
+            resend_deadline: self.resend_deadline,
             rules_valid_until: self.rules_valid_until(),
             head_read: Instant::now(),
         }
     }
 
-    /// When it is given up while it waits: what is not written by then must not be.
-    fn give_up_at(&self) -> Instant {
-        [self.send_by, self.rules_valid_until()].into_iter().flatten().fold(self.deadline, Instant::min)
+    /// Returns when an unwritten attempt is abandoned: nothing may be written after that.
+    fn write_deadline(&self) -> Instant {
+        [self.resend_deadline, self.rules_valid_until()]
+            .into_iter()
+            .flatten()
+            .fold(self.deadline, Instant::min)
     }
 }
 
-/// Why a response did not come to the line that ends its attempt. The job may have run.
+/// Why the line that ends an attempt was not received. The job may have run.
 #[derive(Debug, Error)]
 enum ResponseError {
-    /// The response ended before.
-    #[error("ended before its last line")]
-    Unfinished,
+    /// The response ended before that line.
+    #[error("the response ended before its last line")]
+    Incomplete,
     /// A line could not be read.
     #[error(transparent)]
     Line(#[from] LineError),
-    /// A line could not be understood.
+    /// A line is invalid.
     #[error(transparent)]
     Message(#[from] MessageError),
 }
 
-/// A response that has not been read to its end, and its connection.
+/// A response that has not been read to its end, with its connection.
 struct UnreadResponse {
     lines: LineReader,
     connection: CheckedOutConnection,
@@ -129,7 +134,7 @@
 /// An attempt that has ended.
 struct FinishedAttempt {
     result: AttemptResult,
-    /// The rest of its response, after which the connection can be used again.
+    /// The rest of the response. Once it has been read, the connection can be reused.
     unread: Option<UnreadResponse>,
 }
 
@@ -139,87 +144,103 @@
     }
 }
 
-/// The course of an attempt, for its line in the log.
+/// Details of an attempt for its log line.
 #[derive(Default)]
 struct AttemptTrace {
-    connection: Option<u64>,
-    /// How old a kept connection was; `None` for a new one.
-    kept_for: Option<Duration>,
-    written: u64,
+    connection_number: Option<u64>,
+    /// The age of a reused connection; `None` for a new one.
+    connection_age: Option<Duration>,
+    bytes_written: u64,
+    /// Why the write was denied.
     denied: Option<Denial>,
-    why: Option<String>,
+    /// Why the attempt failed.
+    failure_reason: Option<String>,
 }
 
-/// Returns once an attempt may go no further than that.
-async fn stopped(mut stop: watch::Receiver<StopLevel>, least: StopLevel) {
-    // A sender that is gone can stop nothing any more.
-    if stop.wait_for(|stop| *stop >= least).await.is_err() {
+/// Waits until an attempt is stopped at `min_level` or above.
+async fn wait_for_stop(mut stop: watch::Receiver<StopLevel>, min_level: StopLevel) {
+    // Once the sender is dropped, the attempt can no longer be stopped.
+    if stop.wait_for(|level| *level >= min_level).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
 impl WorkerClient {
-    /// Makes at most so many connections at a time.
+    /// Creates a client that has at most `max_connections` connections at a time and reports to
+    /// `event_queue`.
     pub fn new(
-        most: usize,
+        max_connections: usize,
         worker_connections: WorkerConnectionConfig,
         counters: SharedCounters,
-        queue: mpsc::UnboundedSender<Event<ForwardedRequest>>,
+        event_queue: mpsc::UnboundedSender<Event<ForwardedRequest>>,
     ) -> Arc<Self> {
-        let pool = WorkerPool::new(most, worker_connections, counters.clone());
-        Arc::new(WorkerClient { pool, worker_connections, counters, queue })
+        let pool = WorkerPool::new(max_connections, worker_connections, counters.clone());
+        Arc::new(WorkerClient { pool, worker_connections, counters, event_queue })
     }
 
-    /// Makes one attempt and reports its one end, whichever comes first of its own outcome, the module's
-    /// cancel and its time running out.
-    pub async fn execute(self: Arc<Self>, start: AttemptRequest<ForwardedRequest>) {
+    /// Executes one attempt and reports its end exactly once: its own outcome, its cancellation or its
+    /// deadline, whichever comes first.
+    pub async fn execute(self: Arc<Self>, attempt_request: AttemptRequest<ForwardedRequest>) {
         let AttemptRequest { id, address, deadline, send_by, stop, rules_lease, retry_safety, request } =
-            start;
+            attempt_request;
         let AttemptId { job, attempt } = id;
-        let made = Attempt { id, address, deadline, stop: stop.clone(), rules_lease, send_by, retry_safety };
+        let attempt_parameters = Attempt {
+            id,
+            address,
+            deadline,
+            stop: stop.clone(),
+            rules_lease,
+            resend_deadline: send_by,
+            retry_safety,
+        };
         let mut trace = AttemptTrace::default();
         let FinishedAttempt { result, unread } = tokio::select! {
-            // An end that crosses the cancellation counts.
+            // An outcome that arrives together with the cancellation takes precedence.
             biased;
-            done = self.attempt(&made, &request, &mut trace) => done,
-            () = stopped(stop, StopLevel::Immediate) => FinishedAttempt::without_response(Outcome::Cancelled),
-            () = tokio::time::sleep_until(deadline.into()) => FinishedAttempt::without_response(Outcome::Timeout),
+            finished = self.send_and_receive(&attempt_parameters, &request, &mut trace) => finished,
+            () = wait_for_stop(stop, StopLevel::Immediate) => {
+                FinishedAttempt::without_response(Outcome::Cancelled)
+            }
+            () = tokio::time::sleep_until(deadline.into()) => {
+                FinishedAttempt::without_response(Outcome::Timeout)
+            }
         };
         debug!(
             request = ?request.request_id,
             job,
             attempt,
             worker = %address,
-            connection = trace.connection,
-            kept_ms = trace.kept_for.map(|age| age.as_millis() as u64),
-            written = trace.written,
+            connection = trace.connection_number,
+            kept_ms = trace.connection_age.map(|age| age.as_millis() as u64),
+            written = trace.bytes_written,
             outcome = %outcome_name(result.outcome),
             denied = trace.denied.map(Denial::name),
-            why = trace.why,
+            why = trace.failure_reason,
             "attempt ended"
         );
-        let _ = self.queue.send(Event::AttemptEnded { id, result });
+        let _ = self.event_queue.send(Event::AttemptEnded { id, result });
         if let Some(unread) = unread {
-            self.finish(unread).await;
+            self.drain_and_give_back(unread).await;
         }
     }
 
     /// Sends an attempt and reads its response up to the line that ends it.
-    async fn attempt(
+    async fn send_and_receive(
         &self,
         attempt: &Attempt,
         request: &ForwardedRequest,
         trace: &mut AttemptTrace,
     ) -> FinishedAttempt {
         let (connection, response) = match self.send(attempt, request, trace).await {
-            Ok(sent) => sent,
+            Ok(connection_and_response) => connection_and_response,
             Err(outcome) => return FinishedAttempt::without_response(outcome),
         };
         let (mut outcome, report) = (outcome_of_head(&response), load_report_of_head(&response));
-        // A head names no job: this one may be of the job before, and proves nothing then.
-        let may_be_of_other_job =
+        // A response head carries no job id. On a connection that has not settled, the response may belong to
+        // the previous job, and then it does not prove that this job never ran.
+        let may_belong_to_previous_job =
             !is_settled(connection.last_response_at) && attempt.retry_safety != RetrySafety::Safe;
-        if may_be_of_other_job && outcome.is_some_and(Outcome::never_ran) {
+        if may_belong_to_previous_job && outcome.is_some_and(Outcome::never_ran) {
             outcome = Some(Outcome::Reset);
         }
         let mut lines = LineReader::new(response.into_body(), MAX_RESPONSE_BYTES);
@@ -233,22 +254,26 @@
                 FinishedAttempt { result, unread: Some(UnreadResponse { lines, connection }) }
             }
             Err(error) => {
-                trace.why = Some(error.to_string());
+                trace.failure_reason = Some(error.to_string());
                 FinishedAttempt::without_response(Outcome::Reset)
             }
         }
     }
 
-    /// Writes an attempt and waits for the head of its response; the error is the outcome without one. The request is
-    /// written anew only where no worker can have got all of it.
+    /// Writes an attempt and waits for the head of its response. The request is rewritten on another
+    /// connection only if no worker can have received all of it.
+    ///
+    /// # Errors
+    ///
+    /// Returns the outcome of an attempt without a response.
     async fn send(
         &self,
         attempt: &Attempt,
         request: &ForwardedRequest,
         trace: &mut AttemptTrace,
     ) -> Result<(CheckedOutConnection, Response<Incoming>), Outcome> {
-        // An idle connection may still bring a late response to the job before, which could be taken for this job's. A
-        // non-idempotent job might run twice for it.
+        // A late response to the previous job may still arrive on an idle connection and be mistaken for the
+        // response to this job, so that a non-idempotent job might run twice.
         let mut preference = match attempt.retry_safety {
             RetrySafety::Unsafe => ConnectionPreference::Settled,
             RetrySafety::Safe | RetrySafety::Deduplicated => ConnectionPreference::Any,
@@ -256,27 +281,27 @@
         let mut rewrites = 0;
         loop {
             let mut connection = self.check_out(attempt, preference).await?;
-            trace.connection = Some(connection.connection.number);
-            trace.kept_for = connection.reused.then(|| connection.connection.opened_at.elapsed());
+            trace.connection_number = Some(connection.connection.number);
+            trace.connection_age = connection.reused.then(|| connection.connection.opened_at.elapsed());
             let guard = attempt.write_guard(request);
-            // A process that was stalled, or took long to connect, finds out here that it is too late.
+            // Detects that it is too late to send, after a stall of the process or a slow connect.
             if let Err(denial) = guard.permit(false) {
                 trace.denied = Some(denial);
                 self.pool.give_back(connection);
                 return Err(Outcome::NotSent);
             }
             let http_request = request.to_http(attempt, guard.head_read);
-            let sent = connection.connection.send_attempt(http_request, guard).await;
-            trace.written = connection.connection.bytes_written();
+            let response = connection.connection.send_attempt(http_request, guard).await;
+            trace.bytes_written = connection.connection.bytes_written();
             if let Some(denial) = connection.connection.violation() {
                 violations::report(&self.counters, Operation::Write, denial, &request.request_id);
             }
-            let error = match sent {
+            let error = match response {
                 Ok(response) => return Ok((connection, response)),
                 Err(error) => error,
             };
             match error.progress {
-                // Too much time passed between its head and its first byte.
+                // Too much time passed between building the head and writing its first byte.
                 WriteProgress::Denied(Denial::HeadersOutdated) if rewrites < MAX_REWRITES => {
                     rewrites += 1;
                     preference = ConnectionPreference::New;
@@ -285,14 +310,14 @@
                     trace.denied = Some(denial);
                     return Err(Outcome::NotSent);
                 }
-                // The worker closed the idle connection, and not a byte was written.
+                // The worker closed the idle connection, and no byte was written.
                 WriteProgress::Nothing if connection.reused => preference = ConnectionPreference::New,
                 WriteProgress::Nothing | WriteProgress::Partial => {
-                    trace.why = Some(error.reason);
+                    trace.failure_reason = Some(error.reason);
                     return Err(Outcome::ConnectFailed);
                 }
                 WriteProgress::Complete => {
-                    trace.why = Some(error.reason);
+                    trace.failure_reason = Some(error.reason);
                     if connection.reused {
                         self.pool.suspend_reuse();
                     }
@@ -302,8 +327,12 @@
         }
     }
 
-    /// Takes a connection to the attempt's worker. Whatever happens while it waits is heeded before the first byte: a
-    /// cancellation, the worker's draining, the client's disconnection. What happens later the write guard finds.
+    /// Takes a connection to the attempt's worker. The wait ends if the attempt is cancelled, the worker
+    /// starts draining or the client disconnects. The write guard detects what happens later.
+    ///
+    /// # Errors
+    ///
+    /// Returns the outcome of an attempt without a connection.
     async fn check_out(
         &self,
         attempt: &Attempt,
@@ -311,14 +340,21 @@
     ) -> Result<CheckedOutConnection, Outcome> {
         tokio::select! {
             biased;
-            () = stopped(attempt.stop.clone(), StopLevel::IfUnstarted) => Err(Outcome::NotSent),
-            () = tokio::time::sleep_until(attempt.give_up_at().into()) => Err(Outcome::NotSent),
-            connection = self.pool.check_out(attempt.address, preference, self.worker_connections.connect) => connection,
+            () = wait_for_stop(attempt.stop.clone(), StopLevel::IfUnstarted) => Err(Outcome::NotSent),
+            () = tokio::time::sleep_until(attempt.write_deadline().into()) => Err(Outcome::NotSent),
+            connection = self.pool.check_out(
+                attempt.address,
+                preference,
+                self.worker_connections.connect,
+            ) => connection,
         }
     }
 
-    /// Reads lines up to the one that ends the attempt; the error is that of an answer that ended or broke before, after
-    /// which it may have run.
+    /// Reads lines up to the one that ends the attempt.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the response ends or fails before that line. The job may have run.
     async fn read_lines(
         &self,
         lines: &mut LineReader,
@@ -326,109 +362,118 @@
         request: &ForwardedRequest,
     ) -> Result<AttemptResult, ResponseError> {
         loop {
-            let line = lines.next().await?.ok_or(ResponseError::Unfinished)?;
+            let line = lines.next().await?.ok_or(ResponseError::Incomplete)?;
             if line.iter().all(u8::is_ascii_whitespace) {
                 continue;
             }
             match WorkerMessage::parse(&line, request.request_id.as_bytes()) {
-                Ok(WorkerMessage::Progress) => drop(self.queue.send(Event::Progress { id: attempt.id })),
-                Ok(WorkerMessage::Ended(end)) => return Ok(end),
+                Ok(WorkerMessage::Progress) => {
+                    drop(self.event_queue.send(Event::Progress { id: attempt.id }))
+                }
+                Ok(WorkerMessage::Ended(result)) => return Ok(result),
                 Err(error) => {
                     let why = error.to_string();
-                    warn!(address = %attempt.address, request = ?request.request_id, why, "broken line from an instance");
+                    warn!(
+                        address = %attempt.address,
+                        request = ?request.request_id,
+                        why,
+                        "malformed line from a worker"
+                    );
                     return Err(error.into());
                 }
             }
         }
     }
 
-    /// Reads an answer to its end and keeps the connection.
-    async fn finish(&self, unread: UnreadResponse) {
+    /// Reads a response to its end and returns its connection to the pool.
+    async fn drain_and_give_back(&self, unread: UnreadResponse) {
         let UnreadResponse { mut lines, mut connection } = unread;
-        let tail = async {
-            let mut left = 64;
+        let drain = async {
+            let mut lines_left = 64;
             while let Ok(line) = lines.next().await {
-                left -= 1;
+                lines_left -= 1;
                 if line.is_none() {
                     return connection.connection.wait_until_ready().await;
-                } else if left == 0 {
+                } else if lines_left == 0 {
                     return false;
                 }
             }
             false
         };
-        if timeout(TAIL, tail).await == Ok(true) {
+        if timeout(DRAIN_TIMEOUT, drain).await == Ok(true) {
             connection.last_response_at = Some(Instant::now());
             self.pool.give_back(connection);
         }
     }
 
-    /// Asks a worker for its load and reports what came of it.
+    /// Sends a probe to a worker and reports its result.
     pub async fn probe(self: Arc<Self>, worker: u32, address: SocketAddr) {
-        let began = Instant::now();
-        let asked = timeout(PROBE, self.ask_load(address)).await;
-        let late = began.elapsed() >= PROBE + STOOD_STILL;
-        let (outcome, report) = match asked {
-            Ok(answered) => answered,
-            Err(_) if late => (Outcome::NotSent, None),
+        let started_at = Instant::now();
+        let probe_result = timeout(PROBE_TIMEOUT, self.request_load_report(address)).await;
+        let has_stalled = started_at.elapsed() >= PROBE_TIMEOUT + STALL_THRESHOLD;
+        let (outcome, report) = match probe_result {
+            Ok(outcome_and_report) => outcome_and_report,
+            Err(_) if has_stalled => (Outcome::NotSent, None),
             Err(_) => (Outcome::Timeout, None),
         };
         if matches!(outcome, Outcome::Timeout | Outcome::ConnectFailed) {
-            // It is stuck or has vanished. Back again, it resets what it had before: a job sent on one of
-            // those would end as if it might have run.
+            // The worker is stuck or gone. Once it is back, it resets its earlier connections, and an attempt
+            // on one of them would end as if the job might have run.
             self.pool.close_idle(address);
         }
-        debug!(instance = worker, outcome = %outcome_name(outcome), ?report, "probed");
-        let _ = self.queue.send(Event::ProbeCompleted { worker, outcome, report });
+        debug!(instance = worker, outcome = %outcome_name(outcome), ?report, "probe ended");
+        let _ = self.event_queue.send(Event::ProbeCompleted { worker, outcome, report });
     }
 
-    async fn ask_load(&self, address: SocketAddr) -> (Outcome, Option<LoadReport>) {
-        let mut wanted = ConnectionPreference::Any;
-        let (mut lease, answer) = loop {
-            let mut lease = match self.pool.check_out(address, wanted, PROBE_PATIENCE).await {
-                Ok(lease) => lease,
-                Err(outcome) => return (outcome, None),
-            };
+    async fn request_load_report(&self, address: SocketAddr) -> (Outcome, Option<LoadReport>) {
+        let mut preference = ConnectionPreference::Any;
+        let (mut checked_out, response) = loop {
+            let mut checked_out =
+                match self.pool.check_out(address, preference, PROBE_LOCAL_RETRY_LIMIT).await {
+                    Ok(checked_out) => checked_out,
+                    Err(outcome) => return (outcome, None),
+                };
             let mut request = Request::new(Full::default());
             *request.uri_mut() = Uri::from_static("/load");
             request.headers_mut().insert(HOST, host_header(address));
-            match lease.connection.send_request(request).await {
-                Ok(answer) => break (lease, answer),
-                Err(broken) if lease.reused && broken.progress == WriteProgress::Nothing => {
-                    wanted = ConnectionPreference::New
+            match checked_out.connection.send_request(request).await {
+                Ok(response) => break (checked_out, response),
+                Err(error) if checked_out.reused && error.progress == WriteProgress::Nothing => {
+                    preference = ConnectionPreference::New
                 }
                 Err(_) => return (Outcome::Reset, None),
             }
         };
-        let (status, in_head) = (answer.status(), load_report_of_head(&answer));
-        let Ok(body) = Limited::new(answer.into_body(), MAX_RESPONSE_BYTES).collect().await else {
+        let (status, header_report) = (response.status(), load_report_of_head(&response));
+        let Ok(body) = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await else {
             return (Outcome::Reset, None);
         };
-        if lease.connection.wait_until_ready().await {
-            self.pool.give_back(lease);
+        if checked_out.connection.wait_until_ready().await {
+            self.pool.give_back(checked_out);
         }
-        let report = parse_load_report(&body.to_bytes()).or(in_head);
+        let report = parse_load_report(&body.to_bytes()).or(header_report);
         (if status == StatusCode::OK { Outcome::Ok } else { Outcome::Error }, report)
     }
 
-    /// Closes idle connections in time, for as long as the program runs.
+    /// Periodically closes connections that have been idle for too long to be reused. Never returns.
     pub async fn close_expired_connections(self: Arc<Self>) {
         self.pool.close_expired_connections().await;
     }
 }
 
-/// The `Host` that stands for an address.
+/// Returns the `Host` header for an address.
 pub fn host_header(address: SocketAddr) -> HeaderValue {
     HeaderValue::try_from(address.to_string()).unwrap_or_else(|_| HeaderValue::from_static("instance"))
 }
 
-/// Returns the remaining time that an attempt announces to its worker: its head may grow as old as [`HEAD_AGE`] before it is
-/// written. Of less than twice that, half.
-fn announced_time_left(left: Duration) -> Duration {
-    left.saturating_sub(HEAD_AGE).max(left / 2)
+/// Returns the remaining time that an attempt announces to its worker. The head may be up to [`HEAD_AGE`] old
+/// when it is written, so that this is subtracted; but at least half of the remaining time is announced.
+fn announced_time_left(time_left: Duration) -> Duration {
+    time_left.saturating_sub(HEAD_AGE).max(time_left / 2)
 }
 
 impl ForwardedRequest {
+    /// Builds the HTTP request of an attempt.
     fn to_http(&self, attempt: &Attempt, now: Instant) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -437,7 +482,9 @@
         headers.insert(HOST, host_header(attempt.address));
         headers.insert("request-id", self.request_id.clone());
         headers.extend(self.headers.iter().cloned());
-        headers.extend(attempt.rules_lease.as_ref().map(|rules_lease| (RULES, rules_lease.version.clone())));
+        headers.extend(
+            attempt.rules_lease.as_ref().map(|rules_lease| (RULES_HEADER, rules_lease.version.clone())),
+        );
         let time_left = announced_time_left(attempt.deadline.saturating_duration_since(now)).as_secs_f64();
         if let Ok(time_left) = HeaderValue::try_from(format!("{time_left:.3}")) {
             headers.insert("request-timeout", time_left);
