--- a/crates/daemon/src/acceptor.rs
+++ b/crates/daemon/src/acceptor.rs
@@ -183,7 +183,7 @@
 /// Pauses accepting while descriptors or memory are short. Retrying without a pause would take the processor
 /// from the tasks that free them.
 async fn pause_accepting(error: &io::Error, shortage_throttle: &mut Throttle, shutdown: &Shutdown) {
-    if let Some(left_out) = shortage_throttle.write(Instant::now()) {
+    if let Some(left_out) = shortage_throttle.record(Instant::now()) {
         warn!(%error, left_out, "accept failed");
     }
     tokio::select! {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -113,7 +113,7 @@
     let descriptors = DescriptorBudget::for_limit(config.max_descriptors);
     let worker_client =
         WorkerClient::new(descriptors.workers, config.worker_connections, counters.clone(), queue.clone());
-    tokio::spawn(worker_client.clone().sweep());
+    tokio::spawn(worker_client.clone().close_expired_connections());
     let execute_command = move |command| match command {
         Command::StartAttempt(request) => drop(tokio::spawn(worker_client.clone().execute(request))),
         Command::Probe { worker, address } => {
