--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -235,7 +235,7 @@
 /// Reads the endpoint list in the file. Unlike one from discovery it must be sound in every entry.
 fn initial_endpoints(root: &Field, names: &EntryNames) -> Result<EndpointList, JsonError> {
     let Some(known) = root.optional("known")? else {
-        return Ok(EndpointList { index: 0, snapshot: true, entries: vec![], skipped: vec![] });
+        return Ok(EndpointList { version: 0, is_snapshot: true, entries: vec![], skipped: vec![] });
     };
     let known = EndpointList::decode(&known, names)?;
     match known.skipped.first() {
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -1,6 +1,6 @@
-//! The client of discovery. The endpoint list begins with what the scheduler knew at its start, and is kept current by a
-//! watch once the dispatcher subscribes. Where it may lack changes that count as notified, the dispatcher is notified of
-//! that too.
+//! The client of discovery. The endpoint list starts as the list that the scheduler had at its start; a watch
+//! keeps it current once the dispatcher subscribes. When the list may lack changes that count as notified,
+//! the client tells the dispatcher that it is stale.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -25,89 +25,105 @@
 use crate::line_reader::LineReader;
 use crate::scheduler_loop::{Event, WorkerEndpoint};
 
-/// Discovery writes at least an empty line this often.
-const HEARTBEAT: Duration = Duration::from_secs(2);
-/// A scheduler counts as notified of a change this long after discovery had it and could be reached, whatever became of the
-/// calls.
+/// Discovery writes at least an empty line at this interval.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// A scheduler counts as notified of a change this long after discovery had the change and could be reached,
+/// whatever the outcome of its calls.
 pub const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
-/// The list counts as stale this much sooner, so that the scheduler loop is notified in time also on a busy processor.
+/// The list counts as stale this much sooner, so that the scheduler loop is notified in time also on a busy
+/// processor.
 const STALE_MARGIN: Duration = Duration::from_millis(500);
-/// A call unanswered for this long may be lost; and for this much longer for each scheduler that may have asked
-/// before it. Discovery handles calls in turn, those that nobody waits for any more too, and takes [`WatchTiming::CALL`] for
-/// each: what all ask again in that time is less than it works off.
-const ANSWER: Duration = Duration::from_secs(1);
-const ANSWER_EACH: Duration = Duration::from_millis(80);
-/// While a call waits, a bare connection shows now and then whether discovery can still be reached. It adds nothing to
-/// the calls that wait there. So often, and this much more rarely for each scheduler that does the same; a few
-/// schedulers have made the call once more by then.
-const REACH: Duration = Duration::from_millis(1500);
-const REACH_EACH: Duration = Duration::from_millis(5);
-/// Those who lost their watches together come back spread out, by this much for each, and at most so far.
-const SPREAD_EACH: Duration = Duration::from_millis(10);
-const SPREAD: Duration = Duration::from_secs(1);
-/// The shortest pause after a call that failed at discovery, which is down or has too many callers. One that had
-/// waited there comes back as much later.
-const FAILED: Duration = Duration::from_millis(500);
-/// After a move of discovery a scheduler counts as notified of its changes 4 s later. The watch at the new address is
-/// begun at once, and for this long it is begun again after a short pause, also after calls that failed.
-const MOVING: Duration = Duration::from_secs(4);
+/// A call without a response after this time may be lost. The timeout grows for each scheduler that may have
+/// called before. Discovery handles calls in order, including abandoned ones, and takes
+/// [`WatchTiming::CALL_SERVICE_TIME`] for each: it handles more calls in this time than all schedulers
+/// repeat.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT_PER_SCHEDULER: Duration = Duration::from_millis(80);
+/// While a call waits, a bare connection checks at this interval whether discovery can still be reached. The
+/// check adds nothing to the calls that wait there. The interval grows for each scheduler that does the same.
+/// With a few schedulers the response timeout is shorter, so that they repeat the call before the first
+/// check.
+const REACHABILITY_CHECK_INTERVAL: Duration = Duration::from_millis(1500);
+const CHECK_INTERVAL_PER_SCHEDULER: Duration = Duration::from_millis(5);
+/// Schedulers that lost their watches together reconnect with a jitter of this much for each scheduler, up to
+/// [`MAX_JITTER`].
+const JITTER_PER_SCHEDULER: Duration = Duration::from_millis(10);
+const MAX_JITTER: Duration = Duration::from_secs(1);
+/// The shortest backoff after a call that failed at discovery, which is down or has too many callers. The
+/// time that the call had waited there is added to the backoff.
+const MIN_FAILURE_BACKOFF: Duration = Duration::from_millis(500);
+/// A scheduler counts as notified of changes this long after discovery has moved. It opens the watch at the
+/// new address at once, and during this time it reopens the watch after a short delay, also after calls that
+/// failed.
+const MOVE_NOTIFICATION_DELAY: Duration = Duration::from_secs(4);
 const MAX_LINE_BYTES: usize = 4 << 20;
 
-/// How lists come, and the times that follow from it.
+/// How the scheduler receives lists, and the timeouts and delays that follow from it.
 #[derive(Clone, Copy)]
 pub struct WatchTiming {
-    /// Lists are pushed to an agent beside the scheduler: the scheduler counts as notified of what the agent has at once,
-    /// and calls to it cost nothing. Otherwise all schedulers call one service.
-    pub pushed: bool,
-    /// How many may ask discovery at once.
-    pub schedulers: u32,
-    /// How long after a scheduler was notified that a worker drains it may still send to it.
-    pub grace: Duration,
+    /// The scheduler watches an agent beside it, to which lists are pushed: it counts as notified of what the
+    /// agent has at once, and calls to the agent cost nothing. Otherwise all schedulers call one service.
+    pub uses_agent: bool,
+    /// How many schedulers may call discovery at once.
+    pub scheduler_count: u32,
+    /// How long the scheduler may still send to a worker after it was notified that the worker drains.
+    pub drain_grace: Duration,
 }
 
 impl WatchTiming {
-    /// What discovery takes for a call, as it did on the days at size: 15 a second, given-up ones among them.
-    pub const CALL: Duration = Duration::from_nanos(1_000_000_000 / 15);
-
-    /// A watch that has been silent for this long is dead. A quarter of what is left after a missed heartbeat
-    /// is for one that is late; the rest is for a new watch to be answered in.
-    pub fn silent(&self) -> Duration {
-        HEARTBEAT + (MAX_NOTIFICATION_DELAY - HEARTBEAT) / 4
+    /// The time that discovery takes to handle a call: with many schedulers it handles 15 calls a second,
+    /// including abandoned ones.
+    pub const CALL_SERVICE_TIME: Duration = Duration::from_nanos(1_000_000_000 / 15);
+
+    /// Returns how long a watch may be silent before it counts as dead. A quarter of the time that is left
+    /// after a missed heartbeat allows for a late heartbeat; the rest is for the response to a new watch.
+    pub fn silence_timeout(&self) -> Duration {
+        HEARTBEAT_INTERVAL + (MAX_NOTIFICATION_DELAY - HEARTBEAT_INTERVAL) / 4
     }
 
-    /// A connection that is not up by then will not come up.
-    pub fn connect(&self) -> Duration {
-        (self.grace / 2).clamp(Duration::from_millis(100), Duration::from_secs(1))
+    /// Returns the timeout for establishing a connection.
+    pub fn connect_timeout(&self) -> Duration {
+        (self.drain_grace / 2).clamp(Duration::from_millis(100), Duration::from_secs(1))
     }
 
-    /// How long the head of an answer may take before the call is made once more.
-    pub fn answer(&self) -> Duration {
-        match self.pushed {
-            true => self.connect(),
-            false => ANSWER.saturating_add(ANSWER_EACH.saturating_mul(self.schedulers)),
+    /// Returns how long the head of a response may take before the call is repeated.
+    pub fn response_timeout(&self) -> Duration {
+        match self.uses_agent {
+            true => self.connect_timeout(),
+            false => RESPONSE_TIMEOUT
+                .saturating_add(RESPONSE_TIMEOUT_PER_SCHEDULER.saturating_mul(self.scheduler_count)),
         }
     }
 
-    /// From one look whether discovery can be reached to the next, while a call waits.
-    pub fn reach(&self) -> Duration {
-        REACH + REACH_EACH.saturating_mul(self.schedulers).min(SPREAD)
+    /// Returns the interval between checks whether discovery can be reached, while a call waits.
+    pub fn reachability_check_interval(&self) -> Duration {
+        REACHABILITY_CHECK_INTERVAL
+            + CHECK_INTERVAL_PER_SCHEDULER.saturating_mul(self.scheduler_count).min(MAX_JITTER)
     }
 
-    /// Returns how long after it was surely current a list may lack changes of which the scheduler counts as notified.
-    pub fn stale(&self) -> Duration {
+    /// Returns how long after it was surely current a list may lack changes of which the scheduler counts as
+    /// notified.
+    pub fn max_list_age(&self) -> Duration {
         MAX_NOTIFICATION_DELAY - STALE_MARGIN
     }
 
-    /// From a watch that ended to the next one.
-    pub fn pause(&self, loss: WatchEnd, rng: &mut fastrand::Rng) -> Duration {
-        let others = if self.pushed { Duration::ZERO } else { SPREAD_EACH.saturating_mul(self.schedulers) };
-        match loss {
-            WatchEnd::Failed { waited } if !self.pushed => {
-                FAILED + (FAILED + others.min(4 * SPREAD)).mul_f64(rng.f64()) + waited.min(self.answer())
+    /// Returns the delay from the end of a watch to the next one.
+    pub fn retry_delay(&self, end: WatchEnd, rng: &mut fastrand::Rng) -> Duration {
+        let jitter = if self.uses_agent {
+            Duration::ZERO
+        } else {
+            JITTER_PER_SCHEDULER.saturating_mul(self.scheduler_count)
+        };
+        match end {
+            WatchEnd::Failed { waited } if !self.uses_agent => {
+                MIN_FAILURE_BACKOFF
+                    + (MIN_FAILURE_BACKOFF + jitter.min(4 * MAX_JITTER)).mul_f64(rng.f64())
+                    + waited.min(self.response_timeout())
             }
             _ => {
-                let least = (self.grace / 8).clamp(Duration::from_millis(20), Duration::from_millis(250));
-                least + others.min(SPREAD).mul_f64(rng.f64())
+                let min_delay =
+                    (self.drain_grace / 8).clamp(Duration::from_millis(20), Duration::from_millis(250));
+                min_delay + jitter.min(MAX_JITTER).mul_f64(rng.f64())
             }
         }
     }
@@ -115,35 +131,35 @@
 
 /// The client of discovery.
 pub struct DiscoveryClient<P> {
-    /// Where discovery is, and whether it has moved.
-    pub discovery: watch::Receiver<SocketAddr>,
+    /// The address of discovery; it changes when discovery moves.
+    pub address: watch::Receiver<SocketAddr>,
     /// The names of zones and kinds in lists.
-    pub names: EntryNames,
-    /// How lists come.
+    pub entry_names: EntryNames,
+    /// The timeouts and delays of the watch.
     pub timing: WatchTiming,
     /// Spreads the calls of several schedulers.
     pub rng: fastrand::Rng,
     /// The queue of the scheduler loop.
-    pub queue: mpsc::UnboundedSender<Event<P>>,
-    /// The module's request for a watch; where lists are pushed it makes none.
-    pub asked: mpsc::UnboundedReceiver<()>,
+    pub events: mpsc::UnboundedSender<Event<P>>,
+    /// The dispatcher's requests for a watch; it makes none where the scheduler uses an agent.
+    pub watch_requests: mpsc::UnboundedReceiver<()>,
 }
 
 /// Why a line of a watch could not be understood.
 #[derive(Debug, Error)]
 enum ListError {
-    /// Another object began, or a heartbeat came, before the end of one.
+    /// Another object or a heartbeat came before the end of the present object.
     #[error("an object without its end")]
     Unfinished,
     /// An object is too long.
-    #[error("an object of more than {MAX_LINE_BYTES} bytes")]
+    #[error("an object is longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
     /// An object is not a list.
     #[error(transparent)]
     Json(#[from] JsonError),
 }
 
-/// One object of discovery's, as its lines come: it may be indented over several.
+/// Assembles a JSON object of discovery from its lines; an indented object spans several lines.
 #[derive(Default)]
 struct JsonObjectReader {
     bytes: BytesMut,
@@ -151,15 +167,16 @@
 }
 
 impl JsonObjectReader {
-    /// Takes a line; the object, if it is whole with it.
-    fn take(&mut self, line: &[u8]) -> Result<Option<BytesMut>, ListError> {
+    /// Appends a line, and returns the object if the line completes it.
+    fn push_line(&mut self, line: &[u8]) -> Result<Option<BytesMut>, ListError> {
         let blank = line.iter().all(u8::is_ascii_whitespace);
         if blank && self.bytes.is_empty() {
             return Ok(None);
         }
-        // Both show that the rest of this one never came; waited for, it would hide all that follows.
-        let another = || line.len() > 1 && line[0] == b'{' && is_list(line);
-        if blank || !self.bytes.is_empty() && another() {
+        // A heartbeat or another list shows that the rest of this object never came. Waiting for the rest
+        // would hide everything that follows.
+        let starts_another = || line.len() > 1 && line[0] == b'{' && is_list(line);
+        if blank || !self.bytes.is_empty() && starts_another() {
             return Err(ListError::Unfinished);
         }
         self.bytes.extend_from_slice(line);
@@ -167,8 +184,8 @@
         if self.bytes.len() > MAX_LINE_BYTES {
             return Err(ListError::TooLong);
         }
-        let closed = self.nesting.scan(line)?;
-        Ok(closed.then(|| std::mem::take(self).bytes))
+        let is_complete = self.nesting.scan(line)?;
+        Ok(is_complete.then(|| std::mem::take(self).bytes))
     }
 }
 
@@ -179,13 +196,14 @@
 /// How a watch ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WatchEnd {
-    /// No connection comes up: discovery has not heard of the call, or is cut off from it.
-    Unreached,
-    /// Nothing was received any more, or ever; the scheduler counts as notified of what it misses all the same.
+    /// No connection can be established: discovery has not received the call, or is cut off from it.
+    Unreachable,
+    /// Nothing was received any more, or ever; the scheduler still counts as notified of the changes that it
+    /// misses.
     Silent,
-    /// It had lasted, and was ended.
+    /// The watch was established and lasted for a while before it ended.
     Ended,
-    /// It did not come about, or not for long: discovery is down, or has too many callers. So long it had waited there.
+    /// The watch was not established, or did not last: discovery is down, or has too many callers.
     Failed {
         /// How long discovery had the call before it failed.
         waited: Duration,
@@ -194,54 +212,58 @@
 
 /// The time up to which the list surely has every change of which the scheduler counts as notified.
 struct ListFreshness {
-    at: watch::Sender<Instant>,
-    /// Nothing was reached since: what discovery has had in the meantime could not be asked for.
-    out_of_reach: bool,
+    current_until: watch::Sender<Instant>,
+    /// No connection has been established since `current_until`, so that discovery could not be asked for
+    /// newer changes.
+    is_unreached: bool,
 }
 
 impl ListFreshness {
-    /// Discovery has sent all it had.
-    fn received(&mut self) {
-        self.at.send_replace(Instant::now());
-        self.out_of_reach = true;
+    /// Records that discovery has sent all changes it had.
+    fn mark_received(&mut self) {
+        self.current_until.send_replace(Instant::now());
+        self.is_unreached = true;
     }
 
-    /// It can be reached, and the answer may take longer than a change may.
-    fn reached(&mut self) {
-        self.out_of_reach = false;
+    /// Records that discovery can be reached; its response may take longer than a notification may.
+    fn mark_reached(&mut self) {
+        self.is_unreached = false;
     }
 
-    /// It could not be reached then.
-    fn unreached(&mut self, then: Instant) {
-        if self.out_of_reach {
-            self.at.send_modify(|at| *at = then.max(*at));
+    /// Records that discovery could not be reached at a time.
+    fn mark_unreachable(&mut self, tried_at: Instant) {
+        if self.is_unreached {
+            self.current_until.send_modify(|current_until| *current_until = tried_at.max(*current_until));
         }
     }
 
-    /// Discovery has moved, so that the scheduler counts as notified sooner.
-    fn moved(&mut self) {
-        let at = Instant::now().checked_sub(MAX_NOTIFICATION_DELAY - MOVING);
-        self.at.send_modify(|now| *now = at.map_or(*now, |at| at.min(*now)));
+    /// Records that discovery has moved, so that the scheduler counts as notified sooner.
+    fn mark_moved(&mut self) {
+        let limit = Instant::now().checked_sub(MAX_NOTIFICATION_DELAY - MOVE_NOTIFICATION_DELAY);
+        self.current_until.send_modify(|current_until| {
+            *current_until = limit.map_or(*current_until, |limit| limit.min(*current_until))
+        });
     }
 }
 
-/// Notifies the scheduler loop when the list may be stale and when it is current again, until the loop has ended.
-async fn watch_age<P>(
-    queue: mpsc::UnboundedSender<Event<P>>,
-    stale: Duration,
-    mut current: watch::Receiver<Instant>,
+/// Notifies the scheduler loop when the list may be stale and when it is current again, until the loop has
+/// ended.
+async fn monitor_staleness<P>(
+    events: mpsc::UnboundedSender<Event<P>>,
+    max_age: Duration,
+    mut current_until: watch::Receiver<Instant>,
 ) {
-    let notify = |kind| drop(queue.send(Event::WorkerList { kind, entries: vec![] }));
+    let notify = |kind| drop(events.send(Event::WorkerList { kind, entries: vec![] }));
     loop {
-        let lapses = *current.borrow_and_update() + stale;
+        let stale_at = *current_until.borrow_and_update() + max_age;
         tokio::select! {
             biased;
-            changed = current.changed() => if changed.is_err() { return },
-            () = tokio::time::sleep_until(lapses.into()) => {
+            changed = current_until.changed() => if changed.is_err() { return },
+            () = tokio::time::sleep_until(stale_at.into()) => {
                 warn!("the list may be stale");
                 notify(ListKind::Stale);
-                while current.borrow_and_update().elapsed() >= stale {
-                    if current.changed().await.is_err() {
+                while current_until.borrow_and_update().elapsed() >= max_age {
+                    if current_until.changed().await.is_err() {
                         return;
                     }
                 }
@@ -252,53 +274,57 @@
     }
 }
 
-/// Whether a connection to discovery comes up. What fails here itself is no sign that it would not.
-async fn reachable(address: SocketAddr, limit: Duration) -> bool {
+/// Returns whether a connection to discovery can be established. A local failure does not count as
+/// unreachable.
+async fn is_reachable(address: SocketAddr, limit: Duration) -> bool {
     use std::io::ErrorKind::{
         ConnectionRefused, ConnectionReset, HostUnreachable, NetworkUnreachable, TimedOut,
     };
-    let there = [ConnectionRefused, ConnectionReset, HostUnreachable, NetworkUnreachable, TimedOut];
+    let remote_errors = [ConnectionRefused, ConnectionReset, HostUnreachable, NetworkUnreachable, TimedOut];
     match timeout(limit, TcpStream::connect(address)).await {
         Ok(Ok(_)) => true,
-        Ok(Err(e)) => !there.contains(&e.kind()),
+        Ok(Err(e)) => !remote_errors.contains(&e.kind()),
         Err(_) => false,
     }
 }
 
 /// A call that discovery has answered with a watch.
 struct EstablishedWatch {
-    /// Dropped, it would end the watch.
+    /// Kept because dropping the connection ends the watch.
     _connection: Connection,
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
     waited: Duration,
 }
 
-type ActiveCall = Pin<Box<dyn Future<Output = Result<EstablishedWatch, (WatchEnd, String)>> + Send>>;
+type PendingCall = Pin<Box<dyn Future<Output = Result<EstablishedWatch, (WatchEnd, String)>> + Send>>;
 
-/// Makes one call, and waits for its answer for as long as it is not dropped.
-async fn ask(
+/// Sends one request for a watch, and waits for its response without a timeout.
+async fn request_watch(
     mut connection: Connection,
     address: SocketAddr,
     since: u64,
 ) -> Result<EstablishedWatch, (WatchEnd, String)> {
-    let began = Instant::now();
-    let failed = |why| (WatchEnd::Failed { waited: began.elapsed() }, why);
+    let started_at = Instant::now();
+    let failed = |why| (WatchEnd::Failed { waited: started_at.elapsed() }, why);
     let mut request = Request::new(Full::<Bytes>::default());
     let uri = format!("/v1/servers?follow=1&since={since}");
     *request.uri_mut() = uri.parse().map_err(|e| failed(format!("request: {e}")))?;
     request.headers_mut().insert(header::HOST, host(address));
-    let answer = connection.ask(request).await.map_err(|broken| failed(broken.why))?;
-    match answer.status() {
-        StatusCode::OK => Ok(EstablishedWatch { _connection: connection, answer, waited: began.elapsed() }),
+    let response = connection.ask(request).await.map_err(|broken| failed(broken.why))?;
+    match response.status() {
+        StatusCode::OK => {
+            Ok(EstablishedWatch { _connection: connection, response, waited: started_at.elapsed() })
+        }
         status => Err(failed(format!("status {}", status.as_u16()))),
     }
 }
 
-/// The answer to a call that was made before, if there is one and it is answered with a watch.
-async fn earlier(call: &mut Option<ActiveCall>) -> EstablishedWatch {
-    if let Some(waiting) = call {
-        match waiting.await {
-            Ok(answered) => return answered,
+/// Returns the watch with which discovery answers an earlier call; never returns without such a call, or if
+/// it fails.
+async fn await_earlier_call(call: &mut Option<PendingCall>) -> EstablishedWatch {
+    if let Some(pending) = call {
+        match pending.await {
+            Ok(established) => return established,
             Err((_, why)) => warn!(why, "an earlier call failed"),
         }
         *call = None;
@@ -307,193 +333,209 @@
 }
 
 impl<P> DiscoveryClient<P> {
-    /// Watches the list until the scheduler loop has ended. `known` is the list at the start.
-    pub async fn run(self, known: EndpointList) {
-        let (at, age) = watch::channel(Instant::now());
-        let (queue, stale, pushed) = (self.queue.clone(), self.timing.stale(), self.timing.pushed);
+    /// Watches the list until the scheduler loop has ended. `initial_list` is the list at the start.
+    pub async fn run(self, initial_list: EndpointList) {
+        let (current_until, freshness) = watch::channel(Instant::now());
+        let (events, max_age, uses_agent) =
+            (self.events.clone(), self.timing.max_list_age(), self.timing.uses_agent);
         tokio::select! {
-            () = self.keep(known, ListFreshness { at, out_of_reach: true }) => {}
+            () = self.maintain_watch(initial_list, ListFreshness { current_until, is_unreached: true }) => {}
             // The scheduler counts as notified of what an agent has, and of nothing else.
-            () = watch_age(queue, stale, age), if !pushed => {}
+            () = monitor_staleness(events, max_age, freshness), if !uses_agent => {}
         }
     }
 
-    async fn keep(mut self, known: EndpointList, mut current: ListFreshness) {
-        let mut index = known.index;
-        self.send_list(ListKind::Cached, known.entries);
+    async fn maintain_watch(mut self, initial_list: EndpointList, mut freshness: ListFreshness) {
+        let mut version = initial_list.version;
+        self.send_list(ListKind::Cached, initial_list.entries);
         let mut moved_at = None;
-        if !self.timing.pushed {
+        if !self.timing.uses_agent {
             tokio::select! {
-                asked = self.asked.recv() => if asked.is_none() { return },
-                () = moved(&mut self.discovery) => moved_at = Some(Instant::now()),
+                requested = self.watch_requests.recv() => if requested.is_none() { return },
+                () = address_changed(&mut self.address) => moved_at = Some(Instant::now()),
             }
         }
-        while !self.queue.is_closed() {
-            let address = *self.discovery.borrow_and_update();
-            let mut discovery = self.discovery.clone();
-            let (loss, why) = tokio::select! {
-                lost = self.watch(address, &mut index, &mut current) => lost,
-                () = moved(&mut discovery) => {
+        while !self.events.is_closed() {
+            let address = *self.address.borrow_and_update();
+            let mut address_changes = self.address.clone();
+            let (end, why) = tokio::select! {
+                ended = self.follow_watch(address, &mut version, &mut freshness) => ended,
+                () = address_changed(&mut address_changes) => {
                     moved_at = Some(Instant::now());
-                    current.moved();
+                    freshness.mark_moved();
                     continue;
                 }
             };
             warn!(%address, why, "watch ended");
-            let moving = moved_at.is_some_and(|at: Instant| at.elapsed() < MOVING);
-            let pause = self.timing.pause(if moving { WatchEnd::Ended } else { loss }, &mut self.rng);
+            let has_moved_recently =
+                moved_at.is_some_and(|at: Instant| at.elapsed() < MOVE_NOTIFICATION_DELAY);
+            let delay = self
+                .timing
+                .retry_delay(if has_moved_recently { WatchEnd::Ended } else { end }, &mut self.rng);
             tokio::select! {
-                () = tokio::time::sleep(pause) => {}
-                () = moved(&mut discovery) => {
+                () = tokio::time::sleep(delay) => {}
+                () = address_changed(&mut address_changes) => {
                     moved_at = Some(Instant::now());
-                    current.moved();
+                    freshness.mark_moved();
                 }
             }
         }
     }
 
     fn send_list(&self, kind: ListKind, entries: Vec<WorkerEndpoint>) {
-        let _ = self.queue.send(Event::WorkerList { kind, entries });
+        let _ = self.events.send(Event::WorkerList { kind, entries });
     }
 
     /// Returns once discovery cannot be reached any more.
-    async fn cut_off(&self, address: SocketAddr) {
-        let limit = self.timing.connect().max(Duration::from_millis(250));
+    async fn wait_until_unreachable(&self, address: SocketAddr) {
+        let limit = self.timing.connect_timeout().max(Duration::from_millis(250));
         loop {
-            tokio::time::sleep(self.timing.reach()).await;
-            if !reachable(address, limit).await {
+            tokio::time::sleep(self.timing.reachability_check_interval()).await;
+            if !is_reachable(address, limit).await {
                 return;
             }
         }
     }
 
-    /// A connection to discovery.
-    async fn connect(&self, address: SocketAddr, current: &mut ListFreshness) -> Result<Connection, String> {
-        let began = Instant::now();
-        match Connection::open(address, self.timing.connect()).await {
+    /// Opens a connection to discovery, and records whether discovery can be reached.
+    async fn connect(
+        &self,
+        address: SocketAddr,
+        freshness: &mut ListFreshness,
+    ) -> Result<Connection, String> {
+        let started_at = Instant::now();
+        match Connection::open(address, self.timing.connect_timeout()).await {
             Ok(connection) => {
-                current.reached();
+                freshness.mark_reached();
                 Ok(connection)
             }
             Err(why) => {
-                let there = match why {
+                let is_reachable = match why {
                     ConnectError::Silent => false,
-                    _ => reachable(address, self.timing.connect()).await,
+                    _ => is_reachable(address, self.timing.connect_timeout()).await,
                 };
-                if !there {
-                    current.unreached(began);
+                if !is_reachable {
+                    freshness.mark_unreachable(started_at);
                 }
                 Err(why.to_string())
             }
         }
     }
 
-    /// Asks for a watch from a version on. A call that is not answered in time keeps its place among those that
-    /// wait there, and another is made beside it, for it may be lost; whichever is answered first counts.
-    async fn call(
+    /// Opens a watch from a version on. A call that is not answered in time may be lost, so that another call
+    /// is made. The first call stays open, because it keeps its place in the queue of discovery; the first
+    /// response counts.
+    async fn open_watch(
         &mut self,
         address: SocketAddr,
         since: u64,
-        current: &mut ListFreshness,
+        freshness: &mut ListFreshness,
     ) -> Result<EstablishedWatch, (WatchEnd, String)> {
-        let mut first = None;
+        let mut first_call = None;
         loop {
             let connection =
-                self.connect(address, current).await.map_err(|why| (WatchEnd::Unreached, why))?;
-            let mut call: ActiveCall = Box::pin(ask(connection, address, since));
-            let lost = tokio::select! {
+                self.connect(address, freshness).await.map_err(|why| (WatchEnd::Unreachable, why))?;
+            let mut call: PendingCall = Box::pin(request_watch(connection, address, since));
+            let failure = tokio::select! {
                 biased;
-                answered = earlier(&mut first) => return Ok(answered),
-                answered = &mut call => match answered {
-                    Ok(answered) => return Ok(answered),
-                    Err(lost) => lost,
+                established = await_earlier_call(&mut first_call) => return Ok(established),
+                result = &mut call => match result {
+                    Ok(established) => return Ok(established),
+                    Err(failure) => failure,
                 },
-                () = tokio::time::sleep(self.timing.answer()) => {
-                    if !self.timing.pushed {
-                        first.get_or_insert(call);
+                () = tokio::time::sleep(self.timing.response_timeout()) => {
+                    if !self.timing.uses_agent {
+                        first_call.get_or_insert(call);
                     }
                     (WatchEnd::Silent, "no answer in time".to_owned())
                 }
-                () = self.cut_off(address), if !self.timing.pushed => {
-                    return Err((WatchEnd::Unreached, "cut off before an answer".to_owned()));
+                () = self.wait_until_unreachable(address), if !self.timing.uses_agent => {
+                    return Err((WatchEnd::Unreachable, "cut off before an answer".to_owned()));
                 }
             };
-            if first.is_none() {
-                return Err(lost);
+            if first_call.is_none() {
+                return Err(failure);
             }
-            warn!(%address, why = lost.1, "asked once more");
-            let pause = self.timing.pause(lost.0, &mut self.rng);
+            warn!(%address, why = failure.1, "asked once more");
+            let delay = self.timing.retry_delay(failure.0, &mut self.rng);
             tokio::select! {
-                answered = earlier(&mut first) => return Ok(answered),
-                () = tokio::time::sleep(pause) => {}
+                established = await_earlier_call(&mut first_call) => return Ok(established),
+                () = tokio::time::sleep(delay) => {}
             }
         }
     }
 
-    /// Takes a line of a watch, and returns the list that is complete with it.
+    /// Decodes a line of a watch, and returns the list if the line completes it.
     fn decode_line(
         &self,
         object: &mut JsonObjectReader,
         line: &[u8],
     ) -> Result<Option<EndpointList>, ListError> {
-        let Some(bytes) = object.take(line)? else { return Ok(None) };
+        let Some(bytes) = object.push_line(line)? else { return Ok(None) };
         let value = json::decode(&bytes)?;
-        Ok(Some(EndpointList::decode(&Field::root(&value), &self.names)?))
+        Ok(Some(EndpointList::decode(&Field::root(&value), &self.entry_names)?))
     }
 
-    /// Keeps a watch, from the given version on, until it is lost.
-    async fn watch(
+    /// Opens a watch from the given version on, and applies its lists until it ends.
+    async fn follow_watch(
         &mut self,
         address: SocketAddr,
-        index: &mut u64,
-        current: &mut ListFreshness,
+        version: &mut u64,
+        freshness: &mut ListFreshness,
     ) -> (WatchEnd, String) {
-        let EstablishedWatch { _connection, answer, waited } = match self.call(address, *index, current).await
-        {
-            Ok(answered) => answered,
-            Err(lost) => return lost,
+        let EstablishedWatch { _connection, response, waited } =
+            match self.open_watch(address, *version, freshness).await {
+                Ok(established) => established,
+                Err(failure) => return failure,
+            };
+        info!(since = version, "watching");
+        let established_at = Instant::now();
+        let watch_end = || {
+            if established_at.elapsed() < HEARTBEAT_INTERVAL {
+                WatchEnd::Failed { waited }
+            } else {
+                WatchEnd::Ended
+            }
         };
-        info!(since = index, "watching");
-        let since = Instant::now();
-        let ended =
-            || if since.elapsed() < HEARTBEAT { WatchEnd::Failed { waited } } else { WatchEnd::Ended };
-        let mut lines = LineReader::new(answer.into_body(), MAX_LINE_BYTES);
+        let mut lines = LineReader::new(response.into_body(), MAX_LINE_BYTES);
         let mut object = JsonObjectReader::default();
         loop {
-            let line = match timeout(self.timing.silent(), lines.next_line()).await {
+            let line = match timeout(self.timing.silence_timeout(), lines.next_line()).await {
                 Ok(Ok(Some(line))) => line,
-                Ok(Ok(None)) => return (ended(), "discovery ended it".to_owned()),
-                Ok(Err(error)) => return (ended(), error.to_string()),
+                Ok(Ok(None)) => return (watch_end(), "discovery ended the watch".to_owned()),
+                Ok(Err(error)) => return (watch_end(), error.to_string()),
                 Err(_) => return (WatchEnd::Silent, "silent for too long".to_owned()),
             };
-            // A broken line may have held changes: the next watch asks for all since the last good one.
+            // A broken line may have held changes: the next watch asks for all changes since the last valid
+            // list.
             let list = match self.decode_line(&mut object, &line) {
                 Ok(Some(list)) => list,
                 Ok(None) => {
                     if object.bytes.is_empty() {
-                        current.received();
+                        freshness.mark_received();
                     }
                     continue;
                 }
-                Err(error) => return (ended(), format!("broken line: {error}")),
+                Err(error) => return (watch_end(), format!("broken line: {error}")),
             };
             for error in &list.skipped {
                 let why = error.to_string();
                 warn!(why, "entry left out");
             }
-            *index = list.index;
-            // Only a whole snapshot is complete: what else a list leaves out has not gone.
-            let whole = list.snapshot && list.skipped.is_empty();
-            let kind = if whole { ListKind::Complete } else { ListKind::Changes };
+            *version = list.version;
+            // Only a snapshot without skipped entries is complete: workers missing from any other list are
+            // not gone.
+            let is_complete = list.is_snapshot && list.skipped.is_empty();
+            let kind = if is_complete { ListKind::Complete } else { ListKind::Changes };
             self.send_list(kind, list.entries);
-            current.received();
+            freshness.mark_received();
         }
     }
 }
 
-/// Returns once discovery has moved; never if nothing is left that could move it.
-async fn moved(discovery: &mut watch::Receiver<SocketAddr>) {
-    if discovery.changed().await.is_err() {
+/// Returns once the address of discovery has changed; never returns if the address cannot change any more.
+async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
+    if address.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -120,13 +120,19 @@
         Command::WatchList => drop(ask.send(())),
     };
     let timing = WatchTiming {
-        pushed: !config.settings.requires_subscription,
-        schedulers: config.settings.dispatchers,
-        grace: config.worker_connections.drain_grace,
+        uses_agent: !config.settings.requires_subscription,
+        scheduler_count: config.settings.dispatchers,
+        drain_grace: config.worker_connections.drain_grace,
     };
     let rng = fastrand::Rng::with_seed(config.seed);
-    let client =
-        DiscoveryClient { discovery, names: config.entry_names, timing, rng, queue: queue.clone(), asked };
+    let client = DiscoveryClient {
+        address: discovery,
+        entry_names: config.entry_names,
+        timing,
+        rng,
+        events: queue.clone(),
+        watch_requests: asked,
+    };
     tokio::spawn(client.run(config.initial_endpoints));
     if let Some(active_rules) = active_rules {
         tokio::spawn(rules_conversion::forward_rules(
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -28,7 +28,9 @@
         local_lease: settings.local_lease_config().map_err(|e| e.to_string())?,
         program_version: env!("CARGO_PKG_VERSION").to_owned(),
     };
-    nickelflow_daemon::rules_conversion::begin(config, settings.listen).await.map_err(|e| e.to_string())
+    nickelflow_daemon::rules_conversion::start_control_plane(config, settings.listen)
+        .await
+        .map_err(|e| e.to_string())
 }
 
 async fn serve(settings: Option<Settings>) -> Result<(), String> {
--- a/crates/daemon/src/rules_conversion.rs
+++ b/crates/daemon/src/rules_conversion.rs
@@ -40,7 +40,7 @@
 /// # Errors
 ///
 /// Returns an error if the listener cannot be opened or the control plane cannot start.
-pub async fn begin(
+pub async fn start_control_plane(
     settings: nickelflow_control_plane::ControlPlaneConfig,
     address: SocketAddr,
 ) -> Result<ControlPlane, RulesError> {
--- a/crates/daemon/tests/discovery.rs
+++ b/crates/daemon/tests/discovery.rs
@@ -19,7 +19,11 @@
 use tokio::sync::{mpsc, watch};
 
 fn timing(pushed: bool, schedulers: u32, grace_ms: u64) -> WatchTiming {
-    WatchTiming { pushed, schedulers, grace: Duration::from_millis(grace_ms) }
+    WatchTiming {
+        uses_agent: pushed,
+        scheduler_count: schedulers,
+        drain_grace: Duration::from_millis(grace_ms),
+    }
 }
 
 // ---- the figures -----------------------------------------------------------------------------------------
@@ -29,19 +33,20 @@
     // Discovery answered 15 calls a second on the days at size, given-up ones among them.
     for schedulers in [1, 2, 30, 100, 1_000] {
         let queue = Duration::from_secs(1) * schedulers / 15;
-        let answer = timing(false, schedulers, 500).answer();
+        let answer = timing(false, schedulers, 500).response_timeout();
         assert!(answer > queue, "{schedulers} schedulers give up before their turn");
     }
-    assert!(timing(false, u32::MAX, 500).answer() > timing(false, 1, 500).answer());
+    assert!(timing(false, u32::MAX, 500).response_timeout() > timing(false, 1, 500).response_timeout());
 }
 
 #[test]
 fn calls_that_are_asked_again_come_more_rarely_than_they_are_worked_off() {
     // All of them again and again, each after its wait: a queue that nobody is answered from must not grow by that.
     for schedulers in [1, 2, 30, 100, 300, 1_000, 100_000] {
-        let calls_per_s = f64::from(schedulers) / timing(false, schedulers, 500).answer().as_secs_f64();
+        let calls_per_s =
+            f64::from(schedulers) / timing(false, schedulers, 500).response_timeout().as_secs_f64();
         assert!(
-            calls_per_s * WatchTiming::CALL.as_secs_f64() < 0.9,
+            calls_per_s * WatchTiming::CALL_SERVICE_TIME.as_secs_f64() < 0.9,
             "{schedulers} schedulers: {calls_per_s}"
         );
     }
@@ -55,11 +60,12 @@
             let timing = timing(false, schedulers, grace);
             // Even where the first new connection does not come up, and the last of all is answered last.
             let queue = Duration::from_secs(1) * schedulers / 15;
-            let pause =
-                timing.pause(WatchEnd::Silent, &mut rng).max(timing.pause(WatchEnd::Unreached, &mut rng));
-            let anew = timing.silent() + 2 * (pause + timing.connect()) + queue;
+            let pause = timing
+                .retry_delay(WatchEnd::Silent, &mut rng)
+                .max(timing.retry_delay(WatchEnd::Unreachable, &mut rng));
+            let anew = timing.silence_timeout() + 2 * (pause + timing.connect_timeout()) + queue;
             assert!(
-                anew < MAX_NOTIFICATION_DELAY + timing.grace,
+                anew < MAX_NOTIFICATION_DELAY + timing.drain_grace,
                 "{schedulers} schedulers, {grace} ms: {anew:?}"
             );
         }
@@ -72,14 +78,14 @@
     for grace in [300, 500, 700, 2_000, 60_000] {
         let timing = timing(true, 300, grace);
         for loss in [
-            WatchEnd::Unreached,
+            WatchEnd::Unreachable,
             WatchEnd::Silent,
             WatchEnd::Ended,
-            WatchEnd::Failed { waited: timing.answer() },
+            WatchEnd::Failed { waited: timing.response_timeout() },
         ] {
             // A call that it left unanswered, and the next one.
-            let heard = timing.answer() + timing.pause(loss, &mut rng);
-            assert!(heard < timing.grace * 3 / 4, "{grace} ms: {heard:?}");
+            let heard = timing.response_timeout() + timing.retry_delay(loss, &mut rng);
+            assert!(heard < timing.drain_grace * 3 / 4, "{grace} ms: {heard:?}");
         }
     }
 }
@@ -155,7 +161,7 @@
 
 impl OutageSimulation {
     fn new(timing: WatchTiming, outage: Outage, outage_duration: Duration, seed: u64) -> Self {
-        let schedulers = timing.schedulers as usize;
+        let schedulers = timing.scheduler_count as usize;
         let mut simulation = OutageSimulation {
             timing,
             outage,
@@ -188,10 +194,10 @@
             Outage::Refuses | Outage::Fails | Outage::CutOffAsking => (Duration::ZERO, WatchEnd::Ended),
             _ => {
                 let heartbeat = Duration::from_secs(2);
-                (self.timing.silent() - heartbeat.mul_f64(self.rng.f64()), WatchEnd::Silent)
+                (self.timing.silence_timeout() - heartbeat.mul_f64(self.rng.f64()), WatchEnd::Silent)
             }
         };
-        let pause = self.timing.pause(loss, &mut self.rng);
+        let pause = self.timing.retry_delay(loss, &mut self.rng);
         self.schedule(missed + pause, OutageEvent::Call(CallId { scheduler, number: 0 }));
     }
 
@@ -230,15 +236,15 @@
             }
             OutageEvent::Check(call) if self.is_current(call) => {
                 let reached = !(self.is_down && matches!(self.outage, Outage::CutOff | Outage::CutOffAsking));
-                let after = if reached { Duration::ZERO } else { self.timing.connect() };
+                let after = if reached { Duration::ZERO } else { self.timing.connect_timeout() };
                 self.schedule(after, OutageEvent::Checked { call, reached });
             }
             OutageEvent::Checked { call, reached } if self.is_current(call) => {
                 if reached {
-                    self.schedule(self.timing.reach(), OutageEvent::Check(call));
+                    self.schedule(self.timing.reachability_check_interval(), OutageEvent::Check(call));
                 } else {
                     self.first_call[call.scheduler] = None;
-                    self.call_again(call, Duration::ZERO, WatchEnd::Unreached);
+                    self.call_again(call, Duration::ZERO, WatchEnd::Unreachable);
                 }
             }
             OutageEvent::Response(call) => {
@@ -255,12 +261,12 @@
 
     /// Makes a call; returns whether it failed at once and is made again.
     fn call(&mut self, call: CallId) -> bool {
-        let connect = self.timing.connect();
+        let connect = self.timing.connect_timeout();
         let failed = WatchEnd::Failed { waited: Duration::ZERO };
         let failure = match self.outage {
-            Outage::Refuses if self.is_down => Some((Duration::ZERO, WatchEnd::Unreached)),
-            Outage::CutOff if self.is_down => Some((connect, WatchEnd::Unreached)),
-            Outage::CutOffAsking if self.is_down && call.number > 0 => Some((connect, WatchEnd::Unreached)),
+            Outage::Refuses if self.is_down => Some((Duration::ZERO, WatchEnd::Unreachable)),
+            Outage::CutOff if self.is_down => Some((connect, WatchEnd::Unreachable)),
+            Outage::CutOffAsking if self.is_down && call.number > 0 => Some((connect, WatchEnd::Unreachable)),
             Outage::Fails if self.is_down => Some((Duration::ZERO, failed)),
             _ => None,
         };
@@ -269,15 +275,15 @@
             return true;
         }
         self.queue.push_back(call);
-        self.schedule(self.timing.answer(), OutageEvent::GiveUp(call));
-        self.schedule(self.timing.reach(), OutageEvent::Check(call));
+        self.schedule(self.timing.response_timeout(), OutageEvent::GiveUp(call));
+        self.schedule(self.timing.reachability_check_interval(), OutageEvent::Check(call));
         false
     }
 
     /// Schedules a scheduler's next call, for which it pauses from `after` now.
     fn call_again(&mut self, call: CallId, after: Duration, loss: WatchEnd) {
         self.calls[call.scheduler] += 1;
-        let pause = self.timing.pause(loss, &mut self.rng);
+        let pause = self.timing.retry_delay(loss, &mut self.rng);
         self.schedule(after + pause, OutageEvent::Call(CallId { number: call.number + 1, ..call }));
     }
 
@@ -287,28 +293,30 @@
         }
         if let Some(call) = self.queue.pop_front() {
             self.is_busy = true;
-            self.schedule(WatchTiming::CALL, OutageEvent::Response(call));
+            self.schedule(WatchTiming::CALL_SERVICE_TIME, OutageEvent::Response(call));
         }
     }
 }
 
 /// The formula of docs/design/races.md: the longest time to the new list from discovery's return.
 fn bound(timing: WatchTiming, outage: Outage, lasts: Duration) -> Duration {
-    let short = (timing.grace / 8).clamp(Duration::from_millis(20), Duration::from_millis(250))
-        + Duration::from_secs(1).min(Duration::from_millis(10) * timing.schedulers);
-    let failed =
-        Duration::from_secs(1) + Duration::from_secs(4).min(Duration::from_millis(10) * timing.schedulers);
-    let all = WatchTiming::CALL * timing.schedulers;
+    let short = (timing.drain_grace / 8).clamp(Duration::from_millis(20), Duration::from_millis(250))
+        + Duration::from_secs(1).min(Duration::from_millis(10) * timing.scheduler_count);
+    let failed = Duration::from_secs(1)
+        + Duration::from_secs(4).min(Duration::from_millis(10) * timing.scheduler_count);
+    let all = WatchTiming::CALL_SERVICE_TIME * timing.scheduler_count;
     // A watch that fell silent is missed so long after the outage's end.
-    let missed = timing.silent().saturating_sub(lasts);
+    let missed = timing.silence_timeout().saturating_sub(lasts);
     match outage {
         Outage::Refuses => short + all,
         Outage::Fails => failed + all,
-        Outage::CutOff => (missed + short).max(timing.connect() + short) + all,
+        Outage::CutOff => (missed + short).max(timing.connect_timeout() + short) + all,
         // The last call was lost up to `short` after the cut began; whether the look after it comes in time.
-        Outage::CutOffAsking if lasts > short + timing.reach() => timing.connect() + short + all,
-        Outage::CutOffAsking => timing.answer() + 2 * short + all,
-        Outage::Loses => missed.max(timing.answer()) + short + all,
+        Outage::CutOffAsking if lasts > short + timing.reachability_check_interval() => {
+            timing.connect_timeout() + short + all
+        }
+        Outage::CutOffAsking => timing.response_timeout() + 2 * short + all,
+        Outage::Loses => missed.max(timing.response_timeout()) + short + all,
         Outage::Halts => {
             // The first call of each is answered, whatever was asked beside it.
             missed + short + all
@@ -439,16 +447,16 @@
     ask.send(()).expect("a client");
     let (sender, discovery) = watch::channel(discovery);
     let client = DiscoveryClient {
-        discovery,
-        names: EntryNames { zones: vec![], kinds: vec![] },
+        address: discovery,
+        entry_names: EntryNames { zones: vec![], kinds: vec![] },
         timing: timing(pushed, 1, 500),
         rng: fastrand::Rng::with_seed(1),
-        queue,
-        asked,
+        events: queue,
+        watch_requests: asked,
     };
     tokio::spawn(async move {
         let _asks = ask;
-        client.run(EndpointList { index: 41, snapshot: true, entries: vec![], skipped: vec![] }).await;
+        client.run(EndpointList { version: 41, is_snapshot: true, entries: vec![], skipped: vec![] }).await;
     });
     (told, sender)
 }
--- a/crates/daemon/tests/text_format.rs
+++ b/crates/daemon/tests/text_format.rs
@@ -39,7 +39,7 @@
 #[test]
 fn every_key_of_the_known_list_is_read() {
     let known = decode(EVERY_KEY).initial_endpoints;
-    assert_eq!((known.index, known.snapshot), (41, true));
+    assert_eq!((known.version, known.is_snapshot), (41, true));
     assert!(known.skipped.is_empty());
     let memberships: Vec<(&str, WorkerStatus)> =
         known.entries.iter().map(|entry| (entry.name.as_str(), entry.status)).collect();
