--- a/crates/daemon/src/counters.rs
+++ b/crates/daemon/src/counters.rs
@@ -1,4 +1,4 @@
-//! The counters of what a scheduler has accepted, sent and answered. They are printed on request and at exit.
+//! Counters of the jobs, attempts and connections of a scheduler. They are printed on request and at exit.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,7 +9,7 @@
 
 macro_rules! counters {
     ($($name:ident),* $(,)?) => {
-        /// The counters of one scheduler; the operators' documentation says what each counts.
+        /// The counters of one scheduler; the operators' documentation describes each of them.
         #[derive(Default)]
         pub struct Counters {
             $(#[doc = concat!("The counter `", stringify!($name), "`.")] pub $name: Counter,)*
@@ -19,11 +19,17 @@
         impl fmt::Display for Counters {
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 let all = [$((stringify!($name), &self.$name)),*];
-                for (n, (name, counter)) in all.into_iter().enumerate() {
-                    write!(f, "{}{name}={}", if n == 0 { "" } else { " " }, counter.get())?;
+                for (index, (name, counter)) in all.into_iter().enumerate() {
+                    write!(f, "{}{name}={}", if index == 0 { "" } else { " " }, counter.get())?;
                 }
-                for (operation, denial) in self.kinds_of_violation() {
-                    write!(f, " violation_{}_{}={}", operation.name(), denial.name(), self.violation(operation, denial).get())?;
+                for (operation, denial) in self.observed_violations() {
+                    write!(
+                        f,
+                        " violation_{}_{}={}",
+                        operation.name(),
+                        denial.name(),
+                        self.violation(operation, denial).get()
+                    )?;
                 }
                 Ok(())
             }
@@ -32,15 +38,16 @@
 }
 
 counters! {
-    taken, served, refused, failed, client_gone, rejected,
-    sent, sent_ok, sent_error, sent_full, sent_unusable, sent_timeout, sent_connect_failed, sent_reset, sent_cancelled,
-    sent_not_sent, cancels, probes, probes_ok, watches, lists, connects, reuses, distrusts, accepted, shed, turned_away, accept_errors, local_failures, violations,
+    taken, served, refused, failed, client_gone, rejected, sent, sent_ok, sent_error, sent_full,
+    sent_unusable, sent_timeout, sent_connect_failed, sent_reset, sent_cancelled, sent_not_sent,
+    cancels, probes, probes_ok, watches, lists, connects, reuses, distrusts, accepted, shed,
+    turned_away, accept_errors, local_failures, violations,
 }
 
 /// The counters, shared by all parts of the program.
 pub type SharedCounters = Arc<Counters>;
 
-/// A count that only grows.
+/// A monotonically increasing counter.
 #[derive(Default)]
 pub struct Counter(AtomicU64);
 
@@ -59,22 +66,22 @@
 impl Counters {
     /// Returns the counter of one kind of violation.
     pub fn violation(&self, operation: Operation, denial: Denial) -> &Counter {
-        let place = |found: Option<usize>| found.unwrap_or_default();
-        let operation = place(Operation::ALL.iter().position(|known| *known == operation));
-        let denial = place(Denial::ALL.iter().position(|known| *known == denial));
+        let index_or_first = |found: Option<usize>| found.unwrap_or_default();
+        let operation = index_or_first(Operation::ALL.iter().position(|known| *known == operation));
+        let denial = index_or_first(Denial::ALL.iter().position(|known| *known == denial));
         &self.by_violation[operation][denial]
     }
 
-    /// Returns the kinds of violation that were ever found.
-    fn kinds_of_violation(&self) -> impl Iterator<Item = (Operation, Denial)> + '_ {
+    /// Returns the kinds of violation that have been observed.
+    fn observed_violations(&self) -> impl Iterator<Item = (Operation, Denial)> + '_ {
         let all = Operation::ALL
             .into_iter()
             .flat_map(|operation| Denial::ALL.into_iter().map(move |denial| (operation, denial)));
         all.filter(|(operation, denial)| self.violation(*operation, *denial).get() > 0)
     }
 
-    /// Counts the end of an attempt.
-    pub fn ended(&self, outcome: Outcome) {
+    /// Increments the counter of the outcome of an attempt.
+    pub fn record_outcome(&self, outcome: Outcome) {
         match outcome {
             Outcome::Ok => &self.sent_ok,
             Outcome::Error => &self.sent_error,
@@ -90,8 +97,8 @@
     }
 }
 
-/// Returns the name of an outcome in the log. Recorded exchanges and alerts depend on these texts, so they stay when a
-/// variant is renamed.
+/// Returns the name of an outcome in the log. Recorded exchanges and alerts depend on these names, so they do
+/// not change when a variant is renamed.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "Ok",
--- a/crates/daemon/src/rules_conversion.rs
+++ b/crates/daemon/src/rules_conversion.rs
@@ -1,5 +1,5 @@
-//! The conversion of the rules that all schedulers have adopted, which use names, to the rules of the dispatcher, which use
-//! numbers and hashes.
+//! Conversion of the rules that all schedulers have adopted to the rules of the dispatcher. Adopted rules
+//! identify tenants and workers by name, the dispatcher's rules by index and hash.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::listen::listen;
 use crate::scheduler_loop::{AdoptedRules, Event};
 
-/// Why the adoption of rules could not start.
+/// The reason why the adoption of rules cannot start.
 #[derive(Debug, Error)]
 pub enum RulesError {
     /// The listener for other schedulers cannot be opened.
@@ -32,39 +32,39 @@
     Start(#[from] StartError),
 }
 
-/// Nanoseconds in a millisecond.
-const MS: u64 = 1_000_000;
+/// The number of nanoseconds in a millisecond.
+const NANOS_PER_MS: u64 = 1_000_000;
 
-/// Starts to adopt rules with the other schedulers, on a listener of its own.
+/// Starts the control plane, through which schedulers adopt rules, on a listener of its own.
 ///
 /// # Errors
 ///
 /// Returns an error if the listener cannot be opened or the control plane cannot start.
 pub async fn start_control_plane(
-    settings: nickelflow_control_plane::ControlPlaneConfig,
+    config: nickelflow_control_plane::ControlPlaneConfig,
     address: SocketAddr,
 ) -> Result<ControlPlane, RulesError> {
-    let failed = |source| RulesError::Listen { address, source };
-    let listener = listen(address).await.and_then(tokio::net::TcpListener::into_std).map_err(failed)?;
-    Ok(nickelflow_control_plane::start(settings, listener)?)
+    let listen_error = |source| RulesError::Listen { address, source };
+    let listener = listen(address).await.and_then(tokio::net::TcpListener::into_std).map_err(listen_error)?;
+    Ok(nickelflow_control_plane::start(config, listener)?)
 }
 
-/// Passes each change of the rules to the scheduler loop, as long as both run. Of several changes at once only the last is
-/// passed.
+/// Passes changes of the rules to the scheduler loop, until the loop or the control plane has ended. Of
+/// several changes at once only the last one is passed.
 pub async fn forward_rules<P>(
     mut active_rules: watch::Receiver<Option<ActiveRules>>,
     tenants: Vec<String>,
-    queue: mpsc::UnboundedSender<Event<P>>,
+    events: mpsc::UnboundedSender<Event<P>>,
 ) {
     let mut last: Option<(Option<Version>, AdoptedRules)> = None;
     loop {
-        let now = active_rules.borrow_and_update().clone();
-        let version = now.as_ref().map(|now| now.version);
-        let adopted = match (now, &last) {
-            (Some(now), Some((of, last))) if *of == version => {
-                AdoptedRules { valid_until: now.lease_expiry, ..last.clone() }
+        let current = active_rules.borrow_and_update().clone();
+        let version = current.as_ref().map(|current| current.version);
+        let adopted = match (current, &last) {
+            (Some(current), Some((last_version, last))) if *last_version == version => {
+                AdoptedRules { valid_until: current.lease_expiry, ..last.clone() }
             }
-            (Some(now), _) => convert(&now, &tenants),
+            (Some(current), _) => convert_active_rules(&current, &tenants),
             // Before the first lease the scheduler has no share of any quota.
             (None, _) => AdoptedRules {
                 rules: Arc::new(Rules::initial(1, RetryAfterBounds { shortest: 0, longest: u64::MAX })),
@@ -74,64 +74,66 @@
             },
         };
         last = Some((version, adopted.clone()));
-        if queue.send(Event::RulesAdopted(adopted)).is_err() || active_rules.changed().await.is_err() {
+        if events.send(Event::RulesAdopted(adopted)).is_err() || active_rules.changed().await.is_err() {
             return;
         }
     }
 }
 
-fn text(version: Version, degraded: bool) -> HeaderValue {
+fn version_header(version: Version, degraded: bool) -> HeaderValue {
     let text = if degraded { format!("{version} careful") } else { version.to_string() };
     HeaderValue::try_from(text).unwrap_or_else(|_| HeaderValue::from_static("none"))
 }
 
-fn convert(active_rules: &ActiveRules, tenants: &[String]) -> AdoptedRules {
+fn convert_active_rules(active_rules: &ActiveRules, tenants: &[String]) -> AdoptedRules {
     AdoptedRules {
-        rules: Arc::new(rules(&active_rules.step, tenants)),
+        rules: Arc::new(convert_step(&active_rules.step, tenants)),
         valid_until: active_rules.lease_expiry,
-        version: text(active_rules.version, false),
-        degraded_version: text(active_rules.version, true),
+        version: version_header(active_rules.version, false),
+        degraded_version: version_header(active_rules.version, true),
     }
 }
 
-/// Converts a step. What it says of tenants that the settings do not name is ignored.
-fn rules(step: &RulesStep, tenants: &[String]) -> Rules {
-    let number = |name: &String| tenants.iter().position(|tenant| tenant == name).map(|n| n as u32);
-    let (mut limits, mut owners) = (std::collections::BTreeMap::new(), std::collections::BTreeSet::new());
+/// Converts a step. Quotas of tenants that are not in the settings are ignored, and workers that are reserved
+/// for such a tenant are cordoned.
+fn convert_step(step: &RulesStep, tenants: &[String]) -> Rules {
+    let index_of = |name: &String| tenants.iter().position(|tenant| tenant == name).map(|n| n as u32);
+    let (mut tenant_rates_per_s, mut exclusive_tenants) =
+        (std::collections::BTreeMap::new(), std::collections::BTreeSet::new());
     for (name, quota) in &step.quotas {
-        match number(name) {
-            Some(number) => drop(limits.insert(number, *quota)),
-            None => warn!(tenant = name, "rules name a tenant that the settings do not"),
+        match index_of(name) {
+            Some(index) => drop(tenant_rates_per_s.insert(index, *quota)),
+            None => warn!(tenant = name, "the rules name a tenant that is not in the settings"),
         }
     }
-    let workers = step.worker_access.iter().map(|(worker, put)| {
-        let put = match put {
+    let worker_restrictions = step.worker_access.iter().map(|(worker, access)| {
+        let restriction = match access {
             WorkerAccess::Closed(nickelflow_rollout::WorkerState::Drained) => WorkerRestriction::Drained,
             WorkerAccess::Closed(nickelflow_rollout::WorkerState::Excluded) => WorkerRestriction::Excluded,
             WorkerAccess::Closed(_) => WorkerRestriction::Cordoned,
-            WorkerAccess::Exclusive(tenant) | WorkerAccess::Reserved(tenant) => match number(tenant) {
-                Some(number) => {
-                    if matches!(put, WorkerAccess::Exclusive(_)) {
-                        owners.insert(number);
+            WorkerAccess::Exclusive(tenant) | WorkerAccess::Reserved(tenant) => match index_of(tenant) {
+                Some(index) => {
+                    if matches!(access, WorkerAccess::Exclusive(_)) {
+                        exclusive_tenants.insert(index);
                     }
-                    WorkerRestriction::ReservedFor(number)
+                    WorkerRestriction::ReservedFor(index)
                 }
                 None => WorkerRestriction::Cordoned,
             },
         };
-        (fnv1a_hash(worker.as_bytes()), put)
+        (fnv1a_hash(worker.as_bytes()), restriction)
     });
-    let workers = workers.collect();
+    let worker_restrictions = worker_restrictions.collect();
     Rules {
         quota_shares: step.quota_shares,
         max_attempts: step.max_attempts,
         retry_after: RetryAfterBounds {
-            shortest: u64::from(step.retry_after.min_ms) * MS,
-            longest: u64::from(step.retry_after.max_ms) * MS,
+            shortest: u64::from(step.retry_after.min_ms) * NANOS_PER_MS,
+            longest: u64::from(step.retry_after.max_ms) * NANOS_PER_MS,
         },
-        tenant_rates_per_s: limits,
-        worker_restrictions: workers,
-        tenants_with_reserved_workers: owners,
+        tenant_rates_per_s,
+        worker_restrictions,
+        tenants_with_reserved_workers: exclusive_tenants,
         degraded: DegradedRules {
             quota_share: step.degraded.quota_share,
             allowed_workers: step
--- a/crates/daemon/src/scheduler_loop.rs
+++ b/crates/daemon/src/scheduler_loop.rs
@@ -1,9 +1,9 @@
-//! The one task that owns the engine, and with it the decisions. It takes events from one queue, passes them to the engine
-//! with their time, and carries out the engine's outputs.
+//! The one task that owns the engine, and with it the decisions. It takes events from one queue, passes them
+//! to the engine with their time, and carries out the engine's outputs.
 //!
-//! It knows no protocol, and what is open, sent and answered only the engine knows. The loop keeps the channels on which
-//! answers and stops go out, and the requests, into which it never looks. Attempts, probes and the watch are started by the
-//! `execute` function that it is given, and report back through the queue.
+//! The loop knows no protocol, and only the engine knows what is open, sent and answered. The loop keeps the
+//! channels for answers and cancellations, and the requests, whose contents it never reads. The `execute`
+//! function that it is given starts attempts, probes and the watch, which report back through the queue.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -28,60 +28,62 @@
 use crate::start_times::StartTimes;
 use crate::violations;
 
-/// The engine's clock: monotonic, and far enough from its zero for what started long before the program.
+/// The monotonic clock of the engine. It starts far enough above zero to represent the start times of workers
+/// that started long before the program.
 #[derive(Clone, Copy)]
 struct Clock {
     origin: Instant,
 }
 
-/// What the clock shows when the program starts.
-const AT_START: Duration = Duration::from_secs(10 * 365 * 24 * 3_600);
+/// The reading of the clock when the program starts.
+const TIME_AT_START: Duration = Duration::from_secs(10 * 365 * 24 * 3_600);
 
 impl Clock {
     fn start() -> Self {
         Clock { origin: Instant::now() }
     }
 
-    fn at(&self, moment: Instant) -> Nanos {
-        (AT_START + moment.saturating_duration_since(self.origin)).as_nanos() as Nanos
+    fn nanos_at(&self, instant: Instant) -> Nanos {
+        (TIME_AT_START + instant.saturating_duration_since(self.origin)).as_nanos() as Nanos
     }
 
-    fn instant(&self, at: Nanos) -> Instant {
-        self.origin + Duration::from_nanos(at).saturating_sub(AT_START)
+    fn instant_at(&self, nanos: Nanos) -> Instant {
+        self.origin + Duration::from_nanos(nanos).saturating_sub(TIME_AT_START)
     }
 }
 
-/// The queue through which front ends submit jobs. It has no bound of its own: its length is bounded by the descriptors, for
-/// each client connection, attempt and probe has at most a few events waiting.
+/// The queue through which front ends submit jobs. The queue itself is unbounded, but the number of
+/// descriptors limits its length, because each client connection, attempt and probe has at most a few events
+/// in it.
 pub struct JobQueue<P> {
     queue: mpsc::UnboundedSender<Event<P>>,
-    next_number: Arc<AtomicU64>,
+    next_job_number: Arc<AtomicU64>,
 }
 
 impl<P> Clone for JobQueue<P> {
     fn clone(&self) -> Self {
-        JobQueue { queue: self.queue.clone(), next_number: self.next_number.clone() }
+        JobQueue { queue: self.queue.clone(), next_job_number: self.next_job_number.clone() }
     }
 }
 
-/// Reports the client's disconnection when it is dropped before the answer has come.
+/// Reports that the client has disconnected, if it is dropped before the answer has arrived.
 struct DisconnectGuard<'a, P> {
     queue: &'a mpsc::UnboundedSender<Event<P>>,
-    job: Option<u64>,
+    unanswered_job: Option<u64>,
 }
 
 impl<P> Drop for DisconnectGuard<'_, P> {
     fn drop(&mut self) {
-        if let Some(job) = self.job {
+        if let Some(job) = self.unanswered_job {
             let _ = self.queue.send(Event::ClientDisconnected { job });
         }
     }
 }
 
 impl<P> JobQueue<P> {
-    /// Creates the front ends' side of a queue.
+    /// Creates the sending side of a queue, for front ends.
     pub fn new(queue: mpsc::UnboundedSender<Event<P>>) -> Self {
-        JobQueue { queue, next_number: Arc::default() }
+        JobQueue { queue, next_job_number: Arc::default() }
     }
 
     /// Returns whether the scheduler loop still runs.
@@ -89,28 +91,29 @@
         !self.queue.is_closed()
     }
 
-    /// Submits a job and waits for its answer. Dropped before that, it reports that the client has disconnected.
+    /// Submits a job and waits for its answer. If the future is dropped before the answer, it reports that
+    /// the client has disconnected.
     pub async fn submit(&self, job: SubmittedJob<P>) -> FinalAnswer {
-        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
-        let (sender, answer) = oneshot::channel();
-        let _ = self.queue.send(Event::Job { number, job, answer: sender });
-        let mut guard = DisconnectGuard { queue: &self.queue, job: Some(number) };
+        let number = self.next_job_number.fetch_add(1, Ordering::Relaxed);
+        let (answer_sender, answer) = oneshot::channel();
+        let _ = self.queue.send(Event::Job { number, job, answer_sender });
+        let mut guard = DisconnectGuard { queue: &self.queue, unanswered_job: Some(number) };
         let answer = answer.await;
-        guard.job = None;
+        guard.unanswered_job = None;
         answer.unwrap_or(FinalAnswer::Failed)
     }
 }
 
-/// A job that waits for its answer.
+/// A job without its final answer.
 struct PendingJob<P> {
     request_id: HeaderValue,
     request: Arc<P>,
     retry_safety: RetrySafety,
-    answer: oneshot::Sender<FinalAnswer>,
+    answer_sender: oneshot::Sender<FinalAnswer>,
 }
 
 /// Returns whether one of the outputs starts an attempt of a job or answers it.
-fn serves_job(outputs: &[Output<u64, Bytes>], job: u64) -> bool {
+fn starts_or_answers(outputs: &[Output<u64, Bytes>], job: u64) -> bool {
     outputs.iter().any(|output| match output {
         Output::StartAttempt(start) => start.job_id == job,
         Output::FinalAnswer { job_id, .. } => *job_id == job,
@@ -118,7 +121,7 @@
     })
 }
 
-/// The scheduler loop; `execute` carries out its commands.
+/// The scheduler loop. `execute` carries out its commands.
 pub struct SchedulerLoop<P, F> {
     engine: Engine<u64, SocketAddr, Bytes>,
     /// The retry safety of each class of the settings.
@@ -127,16 +130,16 @@
     start_times: StartTimes,
     execute: F,
     counters: SharedCounters,
-    pending: HashMap<u64, PendingJob<P>>,
-    /// Stops an attempt, until it has ended.
-    stops: HashMap<AttemptId, watch::Sender<StopLevel>>,
-    /// The engine's outputs on the input in hand; kept for its allocation.
+    pending_jobs: HashMap<u64, PendingJob<P>>,
+    /// The stop levels of the attempts that have not ended.
+    stop_senders: HashMap<AttemptId, watch::Sender<StopLevel>>,
+    /// The engine's outputs for the present input; the vector is reused to save allocations.
     outputs: Vec<Output<u64, Bytes>>,
     adopted_rules: Option<AdoptedRules>,
 }
 
 impl<P, F: FnMut(Command<P>)> SchedulerLoop<P, F> {
-    /// Creates a loop with an engine of these settings. `seed` initializes the engine's random choices.
+    /// Creates a loop whose engine has these settings. `seed` initializes the engine's random choices.
     ///
     /// # Errors
     ///
@@ -152,29 +155,30 @@
         Ok(SchedulerLoop {
             class_retry_safety,
             engine: Engine::new(settings, seed)?,
-            start_times: StartTimes::new(AT_START.as_nanos() as Nanos, unix_time),
+            start_times: StartTimes::new(TIME_AT_START.as_nanos() as Nanos, unix_time),
             clock: Clock::start(),
             execute,
             counters,
-            pending: HashMap::new(),
-            stops: HashMap::new(),
+            pending_jobs: HashMap::new(),
+            stop_senders: HashMap::new(),
             outputs: Vec::new(),
             adopted_rules: None,
         })
     }
 
-    /// Runs until all senders of the queue are gone. Cancellation safe: no event is lost that has not been taken.
+    /// Runs until all senders of the queue are dropped. Cancel safe: events that are still in the queue stay
+    /// there.
     pub async fn run(mut self, mut queue: mpsc::UnboundedReceiver<Event<P>>) {
         loop {
-            let wake = self.engine.next_wake().map(|at| self.clock.instant(at));
+            let next_wake = self.engine.next_wake().map(|at| self.clock.instant_at(at));
             let sleep = async {
-                match wake {
-                    Some(at) => tokio::time::sleep_until(at.into()).await,
+                match next_wake {
+                    Some(instant) => tokio::time::sleep_until(instant.into()).await,
                     None => std::future::pending().await,
                 }
             };
             tokio::select! {
-                // The clock first: a wake must not starve behind a full queue.
+                // The timer is polled first, so that a full queue cannot starve a wake.
                 biased;
                 () = sleep => self.handle_input(Input::Wake),
                 event = queue.recv() => match event {
@@ -187,10 +191,10 @@
 
     fn handle_event(&mut self, event: Event<P>) {
         let input = match event {
-            Event::Job { number, job, answer } => self.accept_job(number, job, answer),
+            Event::Job { number, job, answer_sender } => self.accept_job(number, job, answer_sender),
             Event::ClientDisconnected { job } => {
                 debug!(job, "client gone");
-                if self.pending.remove(&job).is_some() {
+                if self.pending_jobs.remove(&job).is_some() {
                     self.counters.client_gone.add();
                 }
                 Input::ClientDisconnected { job_id: job }
@@ -207,16 +211,16 @@
                 Input::ProbeCompleted { worker, outcome, report }
             }
             Event::RulesAdopted(adopted) => {
-                let (rules, valid_until) = (adopted.rules.clone(), self.clock.at(adopted.valid_until));
+                let (rules, valid_until) = (adopted.rules.clone(), self.clock.nanos_at(adopted.valid_until));
                 self.adopted_rules = Some(adopted);
                 Input::Rules { rules, valid_until }
             }
-            Event::Shutdown { deadline } => Input::Shutdown { deadline: self.clock.at(deadline) },
+            Event::Shutdown { deadline } => Input::Shutdown { deadline: self.clock.nanos_at(deadline) },
             Event::WorkerList { kind, entries } => {
                 if kind != ListKind::Stale {
                     self.counters.lists.add();
                 }
-                Input::WorkerList { kind, workers: self.with_start_times(entries) }
+                Input::WorkerList { kind, workers: self.convert_start_times(entries) }
             }
         };
         self.handle_input(input);
@@ -226,53 +230,53 @@
         &mut self,
         number: u64,
         submitted: SubmittedJob<P>,
-        answer: oneshot::Sender<FinalAnswer>,
+        answer_sender: oneshot::Sender<FinalAnswer>,
     ) -> Input<u64, SocketAddr, Bytes> {
         self.counters.taken.add();
         let SubmittedJob { request_id, class, tenant, slots, memory, key, is_retry, deadline, request } =
             submitted;
         debug!(job = number, tenant, key, slots, memory, request = ?request_id, "taken");
-        // As in the engine, a class that is out of range counts as the last.
-        let of_class = self.class_retry_safety.get(class as usize).or(self.class_retry_safety.last());
-        let retry_safety = of_class.copied().unwrap_or(RetrySafety::Unsafe);
-        let pending = PendingJob { request_id, request: Arc::new(request), retry_safety, answer };
-        self.pending.insert(number, pending);
-        let deadline = self.clock.at(deadline);
+        // As in the engine, a class that is out of range counts as the last class.
+        let class_safety = self.class_retry_safety.get(class as usize).or(self.class_retry_safety.last());
+        let retry_safety = class_safety.copied().unwrap_or(RetrySafety::Unsafe);
+        let pending = PendingJob { request_id, request: Arc::new(request), retry_safety, answer_sender };
+        self.pending_jobs.insert(number, pending);
+        let deadline = self.clock.nanos_at(deadline);
         Input::Job { job_id: number, job: Job { class, tenant, slots, memory, key, is_retry, deadline } }
     }
 
     fn end_attempt(&mut self, id: AttemptId, result: AttemptResult) -> Input<u64, SocketAddr, Bytes> {
         let AttemptId { job, attempt } = id;
-        self.counters.ended(result.outcome);
+        self.counters.record_outcome(result.outcome);
         debug!(job, attempt, outcome = %outcome_name(result.outcome), "ended");
-        self.stops.remove(&id);
+        self.stop_senders.remove(&id);
         Input::AttemptEnded { job_id: job, attempt, result }
     }
 
-    /// Converts the starts in the entries of a list from Unix time to the engine's clock.
-    fn with_start_times(&mut self, mut entries: Vec<WorkerEndpoint>) -> Vec<WorkerEndpoint> {
-        let now = self.clock.at(Instant::now());
+    /// Converts the start times in the entries of a list from Unix time to the engine's clock.
+    fn convert_start_times(&mut self, mut entries: Vec<WorkerEndpoint>) -> Vec<WorkerEndpoint> {
+        let now = self.clock.nanos_at(Instant::now());
         self.start_times.observe(now, entries.iter().filter_map(|entry| entry.started_at));
         for entry in &mut entries {
-            entry.started_at = entry.started_at.map(|unix| self.start_times.convert(&entry.name, unix));
+            entry.started_at = entry.started_at.map(|unix_ns| self.start_times.convert(&entry.name, unix_ns));
         }
         entries
     }
 
     fn handle_input(&mut self, input: Input<u64, SocketAddr, Bytes>) {
         let mut outputs = std::mem::take(&mut self.outputs);
-        let now = self.clock.at(Instant::now());
-        let wants_attempt = match &input {
+        let now = self.clock.nanos_at(Instant::now());
+        let waiting_job = match &input {
             Input::Job { job_id, .. } | Input::AttemptEnded { job_id, .. } => Some(*job_id),
             _ => None,
         };
         if let Err(misuse) = self.engine.handle(now, input, &mut outputs) {
-            warn!(%misuse, "the core and its engine disagree");
+            warn!(%misuse, "the engine rejected an input of the scheduler loop");
         }
         self.report_violations();
-        if let Some(job) = wants_attempt {
-            if self.pending.contains_key(&job) && !serves_job(&outputs, job) {
-                debug!(job, "held: no worker is open for it, or other attempts are out");
+        if let Some(job) = waiting_job {
+            if self.pending_jobs.contains_key(&job) && !starts_or_answers(&outputs, job) {
+                debug!(job, "held: no worker is open for it, or other attempts are in flight");
             }
         }
         for output in outputs.drain(..) {
@@ -284,7 +288,7 @@
     fn report_violations(&mut self) {
         for JobViolation { job_id, violation } in self.engine.take_violations() {
             let Violation { operation, denial } = violation;
-            let request = self.pending.get(&job_id).map(|pending| pending.request_id.clone());
+            let request = self.pending_jobs.get(&job_id).map(|pending| pending.request_id.clone());
             let request = request.unwrap_or(HeaderValue::from(job_id));
             violations::report(&self.counters, operation, denial, &request);
         }
@@ -294,27 +298,27 @@
         match output {
             Output::StartAttempt(start) => self.start_attempt(start),
             Output::Cancel { job_id: job, attempt } => {
-                if let Some(stop) = self.stops.get(&AttemptId { job, attempt }) {
+                if let Some(stop_sender) = self.stop_senders.get(&AttemptId { job, attempt }) {
                     self.counters.cancels.add();
-                    stop.send_replace(StopLevel::Immediate);
+                    stop_sender.send_replace(StopLevel::Immediate);
                 }
             }
             Output::CancelUnstarted { job_id: job, attempt } => {
-                if let Some(stop) = self.stops.get(&AttemptId { job, attempt }) {
-                    stop.send_if_modified(|level| {
-                        let proceeds = *level == StopLevel::Continue;
-                        if proceeds {
+                if let Some(stop_sender) = self.stop_senders.get(&AttemptId { job, attempt }) {
+                    stop_sender.send_if_modified(|level| {
+                        let may_proceed = *level == StopLevel::Continue;
+                        if may_proceed {
                             *level = StopLevel::IfUnstarted;
                         }
-                        proceeds
+                        may_proceed
                     });
                 }
             }
             Output::FinalAnswer { job_id, answer } => self.answer(job_id, answer),
             Output::Probe { worker } => {
-                if let Some(known) = self.engine.worker(worker) {
+                if let Some(entry) = self.engine.worker(worker) {
                     self.counters.probes.add();
-                    (self.execute)(Command::Probe { worker, address: known.address });
+                    (self.execute)(Command::Probe { worker, address: entry.address });
                 }
             }
             Output::Subscribe => {
@@ -331,29 +335,33 @@
             FinalAnswer::Rejected { .. } => self.counters.refused.add(),
             FinalAnswer::Failed => self.counters.failed.add(),
         }
-        if let Some(pending) = self.pending.remove(&job) {
-            // A client that has disconnected meanwhile takes no answer.
-            let _ = pending.answer.send(answer);
+        if let Some(pending) = self.pending_jobs.remove(&job) {
+            // The receiver is gone if the client has disconnected meanwhile.
+            let _ = pending.answer_sender.send(answer);
         }
     }
 
     fn start_attempt(&mut self, start: StartAttempt<u64>) {
         let StartAttempt { job_id: job, attempt, worker, deadline, send_by } = start;
-        let (Some(pending), Some(known)) = (self.pending.get(&job), self.engine.worker(worker)) else {
-            warn!(job, instance = worker, "the engine names what the core does not know");
+        let (Some(pending), Some(entry)) = (self.pending_jobs.get(&job), self.engine.worker(worker)) else {
+            warn!(
+                job,
+                instance = worker,
+                "the engine started an attempt of an unknown job, or on an unknown worker"
+            );
             return;
         };
         self.counters.sent.add();
-        debug!(job, attempt, instance = known.name, "send");
+        debug!(job, attempt, instance = entry.name, "send");
         let id = AttemptId { job, attempt };
-        let (stop, stopped) = watch::channel(StopLevel::Continue);
-        self.stops.insert(id, stop);
+        let (stop_sender, stop) = watch::channel(StopLevel::Continue);
+        self.stop_senders.insert(id, stop_sender);
         (self.execute)(Command::StartAttempt(AttemptRequest {
             id,
-            address: known.address,
-            deadline: self.clock.instant(deadline),
-            send_by: (send_by != Nanos::MAX).then(|| self.clock.instant(send_by)),
-            stop: stopped,
+            address: entry.address,
+            deadline: self.clock.instant_at(deadline),
+            send_by: (send_by != Nanos::MAX).then(|| self.clock.instant_at(send_by)),
+            stop,
             rules_lease: self.adopted_rules.as_ref().map(AdoptedRules::lease),
             retry_safety: pending.retry_safety,
             request: pending.request.clone(),
--- a/crates/daemon/src/scheduler_messages.rs
+++ b/crates/daemon/src/scheduler_messages.rs
@@ -1,4 +1,4 @@
-//! The messages between the scheduler loop and the parts around it.
+//! The messages between the scheduler loop and the other parts of the daemon.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use nickelflow_engine::{Endpoint, ListKind, LoadReport, Outcome, Rules};
 use tokio::sync::{oneshot, watch};
 
-/// How an attempt ended, with the worker's result as the bytes that came.
+/// How an attempt ended, with the worker's result as the received bytes.
 pub type AttemptResult = nickelflow_engine::AttemptResult<Bytes>;
 /// The single final answer to a job.
 pub type FinalAnswer = nickelflow_engine::FinalAnswer<Bytes>;
@@ -20,23 +20,23 @@
 
 /// A job as a front end submits it.
 pub struct SubmittedJob<P> {
-    /// The id that its client gave it, for logs.
+    /// The id that the client gave the job, for logs.
     pub request_id: HeaderValue,
-    /// The index of its class in the settings.
+    /// The index of the job's class in the settings.
     pub class: u32,
-    /// The index of its tenant in the settings.
+    /// The index of the job's tenant in the settings, if any.
     pub tenant: Option<u32>,
-    /// Slots that it occupies while it runs.
+    /// The slots that the job occupies while it runs.
     pub slots: f64,
-    /// Memory that it occupies while it runs.
+    /// The memory that the job occupies while it runs.
     pub memory: f64,
     /// A hash of the name of the data that the job needs.
     pub key: Option<u64>,
-    /// The client states that it is retrying the job.
+    /// Whether the client states that it is retrying the job.
     pub is_retry: bool,
-    /// When its client gives up.
+    /// When the client gives up.
     pub deadline: Instant,
-    /// What is sent to the worker; the loop never looks into it.
+    /// What is sent to the worker; the loop never reads its contents.
     pub request: P,
 }
 
@@ -49,7 +49,7 @@
     pub attempt: u32,
 }
 
-/// What reaches the scheduler loop through its queue.
+/// An event in the queue of the scheduler loop.
 pub enum Event<P> {
     /// A new job.
     Job {
@@ -57,8 +57,8 @@
         number: u64,
         /// The job itself.
         job: SubmittedJob<P>,
-        /// Where its answer goes.
-        answer: oneshot::Sender<FinalAnswer>,
+        /// Receives the final answer to the job.
+        answer_sender: oneshot::Sender<FinalAnswer>,
     },
     /// The client of a job has disconnected.
     ClientDisconnected {
@@ -83,21 +83,21 @@
         worker: u32,
         /// How the probe ended.
         outcome: Outcome,
-        /// The worker's load.
+        /// The load report of the worker, if there is one.
         report: Option<LoadReport>,
     },
     /// An endpoint list, or a change to it.
     WorkerList {
         /// How complete and how recent the list is.
         kind: ListKind,
-        /// Its entries, with the workers' starts in Unix time (ns).
+        /// The entries of the list, with the workers' start times in Unix time (ns).
         entries: Vec<WorkerEndpoint>,
     },
-    /// All schedulers have adopted rules, or the lease on the present ones was renewed.
+    /// All schedulers have adopted rules, or the lease on the present rules was renewed.
     RulesAdopted(AdoptedRules),
     /// The program shuts down.
     Shutdown {
-        /// When every job must be answered.
+        /// The time by which every job must be answered.
         deadline: Instant,
     },
 }
@@ -107,11 +107,11 @@
 pub struct AdoptedRules {
     /// The rules.
     pub rules: Arc<Rules>,
-    /// Until when they hold in full; from then on only their degraded part does.
+    /// Until when the rules are valid in full; from then on only their degraded part is.
     pub valid_until: Instant,
-    /// Their version, as it is sent with attempts.
+    /// The version of the rules, as it is sent with attempts.
     pub version: HeaderValue,
-    /// Their version, as it is sent with attempts after `valid_until`.
+    /// The version of the rules, as it is sent with attempts after `valid_until`.
     pub degraded_version: HeaderValue,
 }
 
@@ -126,35 +126,35 @@
     }
 }
 
-/// The rules by which an attempt was decided.
+/// The version of the rules by which an attempt was decided, and how long it is valid.
 pub struct RulesLease {
-    /// Their version, as it is sent with the attempt.
+    /// The version of the rules, as it is sent with the attempt.
     pub version: HeaderValue,
-    /// The time from which the attempt must not be written any more; `None` for degraded rules.
+    /// The time from which no byte of the attempt may be written; `None` for degraded rules.
     pub valid_until: Option<Instant>,
 }
 
-/// What the scheduler loop wants done outside.
+/// A command of the scheduler loop, which `execute` carries out.
 pub enum Command<P> {
     /// Start an attempt.
     StartAttempt(AttemptRequest<P>),
-    /// Ask a worker for its load.
+    /// Probe a worker for its load.
     Probe {
         /// The number of the worker.
         worker: u32,
-        /// Its address.
+        /// The address of the worker.
         address: SocketAddr,
     },
     /// Watch the endpoint list.
     WatchList,
 }
 
-/// What a second run of a job would do.
+/// Whether a job may run a second time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetrySafety {
     /// The job is idempotent.
     Safe,
-    /// Workers of one deduplication scope drop a second run for a limited time.
+    /// The workers of one deduplication scope drop a second run within the deduplication window.
     Deduplicated,
     /// The job must never run twice.
     Unsafe,
@@ -176,15 +176,15 @@
     pub id: AttemptId,
     /// The address of the worker.
     pub address: SocketAddr,
-    /// When the attempt is given up.
+    /// When the attempt times out.
     pub deadline: Instant,
-    /// The time from which no byte of it may be written; `None` where nothing bounds it.
+    /// The time from which no byte of the attempt may be written; `None` if there is no such limit.
     pub send_by: Option<Instant>,
     /// How far the attempt may still proceed.
     pub stop: watch::Receiver<StopLevel>,
-    /// The rules by which it was decided; `None` where no rules are adopted.
+    /// The lease of the rules by which the attempt was decided; `None` if no rules are adopted.
     pub rules_lease: Option<RulesLease>,
-    /// What a second run of the job would do.
+    /// Whether the job may run a second time.
     pub retry_safety: RetrySafety,
     /// What is sent to the worker.
     pub request: Arc<P>,
