--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -30,7 +30,7 @@
         local_lease: settings.local_lease_config().map_err(|error| error.to_string())?,
         program_version: env!("CARGO_PKG_VERSION").to_owned(),
     };
-    nickelflow_daemon::rules_conversion::begin(config, settings.listen)
+    nickelflow_daemon::rules_conversion::start_control_plane(config, settings.listen)
         .await
         .map_err(|error| error.to_string())
 }
