--- a/crates/daemon/src/acceptor.rs
+++ b/crates/daemon/src/acceptor.rs
@@ -35,13 +35,14 @@
 
 /// The pause after a failed accept, in which descriptors may be released.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// At most this part (1/n) of the slots may stay idle. Clients have a limited number of connections, and some
-/// open one for each request and leave it idle: if more of them were idle, such clients could open no others.
+/// At most 1/`IDLE_SLOTS_DIVISOR` of the slots may hold idle connections. Some clients open a connection for
+/// each request and leave the connection idle. The number of connections of a client is limited, so if more
+/// slots held idle connections, such a client could reach the limit and open no new connection.
 const IDLE_SLOTS_DIVISOR: usize = 4;
-/// The number of bytes that are read before a close. A connection that is closed with unread input is reset,
-/// and the client may lose a response that it has not read yet.
+/// The largest number of input bytes that are read and discarded before a connection is closed. The kernel
+/// resets a connection that is closed with unread input, and the client may then lose an unread response.
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
-/// The time for which those bytes are read.
+/// The longest time for writing a rejection and then discarding input before a connection is closed.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
 const TOO_SLOW: EarlyRejection =
@@ -51,9 +52,9 @@
 
 /// The slots for client connections.
 struct ConnectionSlots {
-    /// The number of connections that are not being closed.
+    /// The largest number of open connections, not counting shed connections that are closing.
     max: usize,
-    /// The number of connections beyond `max` that may be open while shed connections are closing.
+    /// The largest number of connections beyond `max` that may be open while shed connections are closing.
     max_closing: usize,
     counters: SharedCounters,
     occupied: Mutex<OccupiedSlots>,
@@ -66,7 +67,7 @@
     connections: HashMap<u64, Arc<ClientConnection>>,
 }
 
-/// A slot that is in use. Dropping it frees the slot.
+/// A slot that is in use. Dropping a `ConnectionSlot` frees the slot.
 struct ConnectionSlot {
     slots: Arc<ConnectionSlots>,
     number: u64,
@@ -88,12 +89,12 @@
         self.occupied().connections.len() >= self.max + self.max_closing
     }
 
-    /// Acquires a slot for a new connection, for which another connection may be shed; `None` if all are in
-    /// use.
+    /// Acquires a slot for a new connection, and may shed existing connections to make room. Returns `None`
+    /// if all slots are in use, or if room is needed and no existing connection can be shed.
     fn acquire(self: &Arc<Self>, client_connection: &Arc<ClientConnection>) -> Option<ConnectionSlot> {
         let mut occupied = self.occupied();
         if occupied.connections.len() >= self.max + self.max_closing {
-            // No connection is shed for one that gets no slot.
+            // The new connection gets no slot here, so no existing connection is shed.
             return None;
         }
         let idle = occupied
@@ -138,8 +139,8 @@
         freed: Notify::new(),
     });
     let mut shortage_throttle = Throttle::default();
-    // `select` alone would not suffice: it prefers a ready accept, so that a steady stream of clients, or an
-    // accept that always fails, would hide the close.
+    // The loop condition checks for the close because the `select` below prefers a ready accept: a steady
+    // stream of clients, or an accept that always fails, would hide the close from the `select`.
     while !handler.shutdown.is_closing() {
         let accepted = tokio::select! {
             biased;
@@ -160,11 +161,12 @@
     slots.wait_until_empty().await;
 }
 
-/// Returns whether accept failed because of the one client that it was to accept, or because of a signal. The
-/// next accept may succeed at once.
+/// Returns whether accept failed because of a single client's connection or because of a signal. After such a
+/// failure the next accept may succeed at once.
 fn affects_single_connection(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionAborted, ConnectionReset, Interrupted, TimedOut};
-    // Linux returns errors that are pending on the new connection from accept; accept(2) lists these.
+    // On Linux, accept returns the errors that are pending on the new connection. The manual page accept(2)
+    // lists the pending errors.
     const PENDING_CONNECTION_ERRORS: [i32; 9] = [
         libc::ENETDOWN,
         libc::EPROTO,
@@ -180,8 +182,8 @@
         || error.raw_os_error().is_some_and(|errno| PENDING_CONNECTION_ERRORS.contains(&errno))
 }
 
-/// Pauses accepting while descriptors or memory are short. Retrying without a pause would take the processor
-/// from the tasks that free them.
+/// Pauses accepting while descriptors or memory are short. Retrying without a pause would take processor time
+/// from the tasks that release descriptors and memory.
 async fn pause_accepting(error: &io::Error, shortage_throttle: &mut Throttle, shutdown: &Shutdown) {
     if let Some(left_out) = shortage_throttle.record(Instant::now()) {
         warn!(%error, left_out, "accept failed");
@@ -192,9 +194,9 @@
     }
 }
 
-/// Accepts the connections that are still in the backlog, because closing the listener would reset them.
-/// Accepts at most as many as the backlog holds, and if descriptors are short, retries for at most
-/// [`FINAL_HEAD_TIMEOUT`].
+/// Accepts the connections that are still in the backlog, because closing the listener would reset the
+/// connections in the backlog. Calls accept at most [`BACKLOG`] times, and if descriptors are short, retries
+/// for at most [`FINAL_HEAD_TIMEOUT`].
 async fn drain_backlog(listener: TcpListener, handler: &JobHandler, slots: &Arc<ConnectionSlots>) {
     let Ok(listener) = listener.into_std() else { return };
     let retry_deadline = Instant::now() + FINAL_HEAD_TIMEOUT;
@@ -220,7 +222,7 @@
     let _ = stream.set_nodelay(true);
     let client_connection = ClientConnection::new();
     if slots.is_full() {
-        // Lets the connections that have been shed close first.
+        // Yields so that shed connections can close and free slots before a slot is acquired.
         tokio::task::yield_now().await;
     }
     match slots.acquire(&client_connection) {
@@ -232,22 +234,24 @@
         None => {
             handler.counters.turned_away.add();
             reject_connection(stream);
-            // Lets requests in flight proceed before rejected clients that reconnect at once.
+            // Yields so that requests in flight proceed before rejected clients that reconnect at once.
             tokio::task::yield_now().await;
         }
     }
 }
 
-/// Answers a client that no slot is available for it, and closes the connection.
+/// Answers a client with [`TOO_MANY_CONNECTIONS`] because no slot is available, and closes the connection.
 fn reject_connection(stream: TcpStream) {
-    // Calls the non-blocking socket itself: the runtime does not know yet whether a new connection is ready.
+    // The function calls the non-blocking socket directly, because the runtime does not know yet whether a
+    // new connection is ready.
     let Ok(mut stream) = stream.into_std() else { return };
-    // Gives up unless the whole response is written: a request that is read below and answered in part would
-    // be lost.
+    // The function returns unless the whole response is written: a request that is read below but answered
+    // only in part would be lost.
     if stream.write_all(&TOO_MANY_CONNECTIONS.to_bytes()).is_err() {
         return;
     }
-    // Closing the connection with an unread request would reset it, and the response might be lost.
+    // The kernel resets a connection that is closed with an unread request, and the client might then lose
+    // the response.
     let mut remaining_bytes = MAX_HEAD_BYTES + MAX_BODY_BYTES as usize;
     let mut chunk = [0; 8 << 10];
     while remaining_bytes > 0 {
@@ -263,13 +267,13 @@
 /// Why a client's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum CloseReason {
-    /// The client closed the connection, or it failed.
+    /// The client closed the connection, or the connection failed.
     ClientLeft,
-    /// The connection was to end after its last response.
+    /// The connection ended after the last response.
     LastAnswer,
     /// The client took too long to send a request or to read a response, or was idle for too long.
     TooSlow,
-    /// Another client needed its slot.
+    /// A new client needed the slot of the connection.
     Shed,
     /// The scheduler is shutting down.
     Ending,
@@ -277,8 +281,8 @@
 
 type HttpConnection = http1::Connection<TokioIo<ClientStream>, TowerToHyperService<JobHandler>>;
 
-/// Serves one client connection until it is closed. The task holds the connection's slot until then: the
-/// acceptor returns when all slots are free.
+/// Serves one client connection until the connection is closed. The task holds the slot of the connection
+/// until the close, because the acceptor returns when all slots are free.
 async fn serve_connection(stream: TcpStream, handler: JobHandler, slot: ConnectionSlot) {
     let (shutdown, counters) = (handler.shutdown.clone(), handler.counters.clone());
     let client_connection = handler.client_connection.clone();
@@ -288,8 +292,8 @@
         .max_buf_size(MAX_HEAD_BYTES)
         .header_read_timeout(None)
         .serve_connection(TokioIo::new(client_stream.clone()), TowerToHyperService::new(handler));
-    // Lives until the function returns: if it were dropped earlier, it would pass its notification to the
-    // select below.
+    // `end_requested` lives until the function returns: a future dropped earlier would pass a received
+    // notification on to the `select` below.
     let mut end_requested = pin!(async {
         tokio::select! {
             () = client_connection.shed_notify.notified() => {}
@@ -298,9 +302,9 @@
     });
     let reason = drive(&mut connection, &client_stream, &client_connection, end_requested.as_mut()).await;
     check_close(&client_connection, reason, &counters);
-    // Dropping the connection cancels the job that it was serving.
+    // Dropping the connection cancels the job in flight on the connection.
     drop(connection);
-    // A connection that is shed while its input is discarded closes at once.
+    // A connection that is shed during the discard of input closes at once.
     tokio::select! {
         _ = timeout(DISCARD_TIMEOUT, close(client_stream, &client_connection, reason, &counters)) => {}
         () = client_connection.shed_notify.notified() => {}
@@ -308,9 +312,9 @@
     drop(slot);
 }
 
-/// Drives a connection until it ends by itself, its client exceeds a timeout or disconnects, or it is to end
-/// because it is shed or the scheduler shuts down. In the last case an idle connection ends at once, which
-/// HTTP allows, and a busy one after its response.
+/// Drives a connection until the connection ends by itself, the client exceeds a timeout or disconnects, the
+/// connection is shed, or the scheduler shuts down. On shedding and on shutdown, an idle connection ends at
+/// once, which HTTP allows, and a busy connection ends after the response.
 async fn drive(
     connection: &mut HttpConnection,
     client_stream: &ClientStream,
@@ -340,7 +344,7 @@
         if client_connection.is_shed() && client_connection.is_idle() {
             return Poll::Ready(CloseReason::Shed);
         }
-        // hyper has not received a partial head and would consider the connection idle.
+        // The stream withholds a partial head from hyper, so hyper would consider the connection idle.
         if end_requested_at.is_some() && !is_closing && !client_connection.has_partial_request() {
             is_closing = true;
             Pin::new(&mut *connection).graceful_shutdown();
@@ -355,14 +359,15 @@
     .await
 }
 
-/// Checks that a connection may be closed, and reports a violation if it may not.
+/// Checks that a connection may be closed, and reports a violation if the close is not permitted.
 fn check_close(client_connection: &ClientConnection, reason: CloseReason, counters: &SharedCounters) {
     let request_id = client_connection.request_id();
     let facts = CloseFacts {
         has_unanswered_request: client_connection.has_active_call(),
-        // A partial request is answered when the connection is closed.
+        // `close` answers a partial request, so a partial request is no obstacle to closing the connection.
         has_partial_request: false,
-        // Counts only for a shed connection: otherwise the client has used up its time to read the response.
+        // An unwritten response counts only on a shed connection: on any other connection, the client has
+        // used up the time for reading the response.
         has_unwritten_response: client_connection.has_unwritten_response() && reason == CloseReason::Shed,
         client_disconnected: reason == CloseReason::ClientLeft,
     };
@@ -373,8 +378,8 @@
     }
 }
 
-/// Answers a request that was not read completely, and closes the stream. Discards input that arrives
-/// meanwhile.
+/// Answers a request that was not read completely, shuts the stream down, and then discards input up to
+/// [`MAX_DISCARDED_BYTES`].
 async fn close(
     mut client_stream: ClientStream,
     client_connection: &ClientConnection,
@@ -394,7 +399,7 @@
         client_stream.write_all(&rejection.to_bytes()).await?;
     }
     client_stream.shutdown().await?;
-    // Another client waits for the slot of a connection that is shed.
+    // A new client needs the slot of a shed connection, so a shed connection discards no input.
     let mut remaining_bytes = if client_connection.is_shed() { 0 } else { MAX_DISCARDED_BYTES };
     while remaining_bytes > 0 {
         match poll_fn(|cx| client_stream.poll_discard(cx)).await? {
--- a/crates/daemon/src/client_connection.rs
+++ b/crates/daemon/src/client_connection.rs
@@ -10,24 +10,26 @@
 
 use crate::early_rejection::EarlyRejection;
 
-/// The time within which a request must be complete, from its first byte or, for the first request, from
-/// connecting. A client that makes no progress must receive an error or a close within 3 s of connecting.
+/// The time within which a request must be complete, counted from the first byte of the request or, for the
+/// first request, from connecting. A client that makes no progress must receive an error or a close within
+/// 3 s of connecting.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// The time that a connection may be idle between requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// The time that a new connection has for its first request before it is shed ahead of the other connections.
+/// The time that a new connection has for the first request before the connection is shed ahead of all
+/// connections that have submitted a job.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(100);
 /// The eviction rank of idle connections that have submitted a job.
 pub const IDLE_RANK: u8 = 1;
 /// The time within which the rest of a head must arrive on a connection that is to end.
 pub const FINAL_HEAD_TIMEOUT: Duration = Duration::from_millis(200);
-/// The time that a client has to read the last response on its connection. It equals the time from the close
-/// of the listener to the end of a graceful shutdown.
+/// The time that a client has to read the last response on a connection. `FINAL_RESPONSE_TIMEOUT` equals the
+/// time from the close of the listener to the end of a graceful shutdown.
 const FINAL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 /// The time within which hyper must finish the connection after the last response.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Checks a client's socket for its disconnection.
+/// Checks the socket of a client for a disconnect.
 pub(crate) trait DisconnectCheck: Send + Sync {
     /// Returns whether the client has disconnected by now.
     fn has_disconnected(&self) -> bool;
@@ -45,9 +47,10 @@
 }
 
 pub(crate) struct ConnectionState {
-    /// When the request began that has not arrived completely yet. On a new connection, when it was accepted.
+    /// When the current request began, if the request has not arrived completely yet. On a new connection,
+    /// the time of the accept.
     pub(crate) request_started_at: Option<Instant>,
-    /// Whether a byte of that request has arrived.
+    /// Whether a byte of the current, incomplete request has arrived.
     pub(crate) has_request_bytes: bool,
     /// Whether a call of the service is in flight.
     pub(crate) has_active_call: bool,
@@ -63,11 +66,12 @@
     has_received_request: bool,
     /// Whether a job has been received on the connection.
     has_received_job: bool,
-    /// Whether the connection is to end because another client needs its slot.
+    /// Whether the connection is to end because a new client needs the slot of the connection.
     is_shed: bool,
-    /// Whether the connection closes after the current request, so that nothing after it is read.
+    /// Whether the connection closes after the current request, so that no bytes after the current request
+    /// are read.
     pub(crate) closes_after_request: bool,
-    /// Why the current request is rejected before hyper parses it.
+    /// Why the current request is rejected before parsing by hyper.
     pub(crate) rejection: Option<EarlyRejection>,
     /// The id of the request that is being served.
     request_id: Option<HeaderValue>,
@@ -109,8 +113,8 @@
         let _ = self.disconnect_check.set(check);
     }
 
-    /// Checks the socket for the client's disconnection: the runtime has not yet reported what has arrived
-    /// since the last poll.
+    /// Checks the socket for a disconnect of the client, because the runtime has not yet reported input that
+    /// has arrived since the last poll.
     pub fn has_disconnected(&self) -> bool {
         let Some(check) = self.disconnect_check.get() else { return false };
         match check.upgrade() {
@@ -165,7 +169,7 @@
         self.state().request_started_at.is_none()
     }
 
-    /// Returns whether part of a request has arrived for which no call is in flight.
+    /// Returns whether part of a request has arrived while no call of the service is in flight.
     pub fn has_partial_request(&self) -> bool {
         let state = self.state();
         !state.has_active_call && state.request_started_at.is_some() && state.has_request_bytes
@@ -180,18 +184,20 @@
         state.closes_after_request
     }
 
-    /// Returns why the current request is rejected before hyper parses it, if it is.
+    /// Returns why the current request is rejected before parsing by hyper; `None` if the request is not
+    /// rejected.
     pub fn rejection(&self) -> Option<EarlyRejection> {
         self.state().rejection
     }
 
-    /// Returns when the present request must be complete.
+    /// Returns when the current request must be complete.
     pub fn request_deadline(&self) -> Instant {
         self.state().request_started_at.unwrap_or(self.accepted_at) + REQUEST_TIMEOUT
     }
 
-    /// Returns when the client exceeds its time; `None` while the scheduler works on the client's request.
-    /// `end_requested_at` is the time at which the connection was asked to end, if it was.
+    /// Returns when the client exceeds the time limit that applies now; `None` while the scheduler works on a
+    /// request of the client. `end_requested_at` is the time at which the connection was asked to end; `None`
+    /// if the connection was not asked to end.
     pub fn deadline(&self, end_requested_at: Option<Instant>) -> Option<Instant> {
         let state = self.state();
         if state.has_active_call {
@@ -212,10 +218,11 @@
         }))
     }
 
-    /// Returns the rank by which connections are shed, the lowest first: connections that never submitted a
-    /// job, then those that have been idle longest, and last new ones, whose first request may be in transit
-    /// and would be lost. Clients retry a later request that crosses the close. Returns `None` while a call
-    /// is in flight or its response is not written, and when the connection is already shed.
+    /// Returns the rank by which connections are shed, the lowest rank first: connections that never
+    /// submitted a job, then connections that have submitted a job, the longest idle first, and last new
+    /// connections, whose first request may be in transit and would be lost. Clients retry a later request
+    /// that crosses the close. Returns `None` while a call is in flight or a response is not written, and
+    /// when the connection is already shed.
     pub fn eviction_rank(&self) -> Option<(u8, Instant)> {
         let state = self.state();
         let is_new = !state.has_received_request && self.accepted_at.elapsed() < FIRST_REQUEST_GRACE;
@@ -226,19 +233,19 @@
         (!state.has_active_call && !state.has_unwritten_response && !state.is_shed).then_some(rank)
     }
 
-    /// Returns whether the connection is to end because another client needs its slot.
+    /// Returns whether the connection is to end because a new client needs the slot of the connection.
     pub fn is_shed(&self) -> bool {
         self.state().is_shed
     }
 
-    /// Requests that the connection ends because another client needs its slot.
+    /// Requests the end of the connection because a new client needs the slot of the connection.
     pub fn shed(&self) {
         self.state().is_shed = true;
         self.shed_notify.notify_one();
     }
 }
 
-/// A call of the service that is in flight. Dropping it ends the call.
+/// A call of the service that is in flight. Dropping an `ActiveCall` ends the call.
 pub struct ActiveCall(Arc<ClientConnection>);
 
 impl Drop for ActiveCall {
--- a/crates/daemon/src/job_handler.rs
+++ b/crates/daemon/src/job_handler.rs
@@ -1,4 +1,4 @@
-//! The HTTP service for clients: accepts jobs and returns the single final answer of each.
+//! The HTTP service for clients: accepts jobs and returns the single final answer of each job.
 
 use std::collections::HashSet;
 use std::convert::Infallible;
@@ -33,7 +33,7 @@
 
 type Reply = Response<Full<Bytes>>;
 
-/// The service behind a client connection; each connection has a clone.
+/// The service behind a client connection. Each connection has a clone of the service.
 #[derive(Clone)]
 pub struct JobHandler {
     /// The names of classes and tenants.
@@ -59,13 +59,13 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens an id until the returned value is dropped; `None` if it is already open.
+    /// Opens an id until the returned value is dropped. Returns `None` if the id is already open.
     fn open(&self, id: &HeaderValue) -> Option<OpenRequestId> {
         self.ids().insert(id.clone()).then(|| OpenRequestId(self.clone(), id.clone()))
     }
 }
 
-/// An id that is open. Dropping it closes the id.
+/// An id that is open. Dropping an `OpenRequestId` closes the id.
 struct OpenRequestId(OpenRequestIds, HeaderValue);
 
 impl Drop for OpenRequestId {
@@ -88,7 +88,8 @@
         let call = self.client_connection.begin_call();
         Box::pin(async move {
             let mut reply = handler.serve(request).await;
-            // What follows an incomplete request cannot be distinguished from its body.
+            // Bytes that follow an incomplete request cannot be distinguished from the body of the incomplete
+            // request.
             if handler.client_connection.finish_request() {
                 reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
@@ -98,7 +99,7 @@
     }
 }
 
-/// Why a request is rejected before it becomes a job.
+/// Why a request is rejected before the request becomes a job.
 struct Rejection {
     status: StatusCode,
     reason: String,
@@ -172,7 +173,7 @@
     async fn read_body(&self, body: Incoming) -> Result<Bytes, Rejection> {
         let too_large = || Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "body over 64 KiB");
         // A body that is announced as too large is not awaited: the client may wait for the response before
-        // sending it.
+        // sending the body.
         if body.size_hint().lower() > MAX_BODY_BYTES {
             return Err(too_large());
         }
@@ -192,7 +193,8 @@
         }
     }
 
-    /// Parses the parts of the head that the dispatcher needs. The rest is forwarded unchanged.
+    /// Parses the parts of the head that the dispatcher needs. The method, the target and the headers
+    /// `idempotency-key` and `content-type` are copied unchanged for forwarding.
     fn parse_head(
         &self,
         parts: Parts,
@@ -262,8 +264,8 @@
     value.map(|value| value.to_str().map_err(|_| format!("{name}: not plain text"))).transpose()
 }
 
-/// The resources that a job needs, from its `request-info` header. The header's names differ from those of
-/// the settings.
+/// The resources that a job needs, from the `request-info` header. The resource names in the header differ
+/// from the resource names in the settings.
 struct RequestInfo {
     slots: f64,
     memory: f64,
@@ -286,7 +288,8 @@
     }
 }
 
-/// Returns the response to a rejected job: a retry is harmless, and should wait for this time.
+/// Returns the response to a rejected job: a retry is harmless, and the client should wait for
+/// `retry_after_ns` before the retry.
 fn rejected_reply(retry_after_ns: u64) -> Reply {
     let mut rejection = reply(StatusCode::SERVICE_UNAVAILABLE, "refused, try again later\n");
     let seconds = Duration::from_nanos(retry_after_ns).as_secs_f64();
--- a/crates/daemon/src/request_reader.rs
+++ b/crates/daemon/src/request_reader.rs
@@ -1,10 +1,10 @@
 //! Checks the bytes of a client's requests before hyper parses them.
 //!
 //! hyper hides some ambiguities of a request from the service: if `Content-Length` and `Transfer-Encoding`
-//! are both present, it drops the former, and of several equal lengths it drops all but one. An intermediary
-//! that resolves such a request differently would find another request in its body (request smuggling). So
-//! each head is held back until it is complete and valid, and hyper receives no byte beyond the one request
-//! that the head announces.
+//! are both present, hyper drops `Content-Length`, and of several equal `Content-Length` headers hyper drops
+//! all but one header. An intermediary that resolves an ambiguous request differently would find a second
+//! request in the body of the ambiguous request (request smuggling). So the reader holds back each head until
+//! the head is complete and valid, and hyper receives no byte beyond the request that the head announces.
 
 use std::io::{self, Read};
 use std::pin::Pin;
@@ -24,8 +24,8 @@
 
 /// The largest body of a request.
 pub const MAX_BODY_BYTES: u64 = 64 << 10;
-/// The largest head of a request. Each connection buffers its head, and the process may have 32 MB for
-/// hundreds of connections.
+/// The largest head of a request. Each connection buffers the head of a request, and the process may have
+/// 32 MB for hundreds of connections.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 const MAX_HEADERS: usize = 100;
 /// The largest number of reads in one check for a client's disconnection: a client that keeps writing is
@@ -52,7 +52,7 @@
     buffer: BytesMut,
     /// The number of bytes, buffered or still to come, that belong to the request that hyper may read.
     forwardable_bytes: u64,
-    /// The length of the buffer's start that was searched without finding a complete head.
+    /// The number of bytes at the start of the buffer that were searched without finding a complete head.
     searched: usize,
     has_ended: bool,
 }
@@ -83,8 +83,8 @@
         self.request_reader().has_ended
     }
 
-    /// Completes when the client has disconnected while its job is in flight. hyper cannot detect this when
-    /// unread bytes follow the request, because it then reads no further.
+    /// Completes when the client has disconnected while a job of the client is in flight. When unread bytes
+    /// follow the request, hyper stops reading, so hyper cannot detect the disconnect.
     pub fn poll_disconnected(&self, cx: &mut Context) -> Poll<()> {
         let mut request_reader = self.request_reader();
         while !request_reader.has_ended && request_reader.awaits_response() {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Reads and discards input. Returns the number of bytes, or 0 at the end of the stream.
+    /// Reads and discards input. Returns the number of bytes read, or 0 at the end of the stream.
     pub fn poll_discard(&self, cx: &mut Context) -> Poll<io::Result<usize>> {
         let mut request_reader = self.request_reader();
         request_reader.buffer.clear();
@@ -121,8 +121,9 @@
         self.client_connection.state().awaits_response
     }
 
-    /// Discards pipelined input that is larger than a head: a client that waits for responses does not send
-    /// as much ahead. The connection then closes after the current request.
+    /// Discards pipelined input of more than [`MAX_HEAD_BYTES`]: a client that waits for responses does not
+    /// send more than [`MAX_HEAD_BYTES`] ahead. After a discard, the connection closes after the current
+    /// request.
     fn discard_excess(&mut self) {
         if self.buffer.len() > MAX_HEAD_BYTES {
             (self.buffer, self.searched) = (BytesMut::new(), 0);
@@ -130,9 +131,9 @@
         }
     }
 
-    /// Returns whether the client of a job that is in flight has disconnected. Reads what the kernel has
-    /// buffered, whether or not the runtime has been notified of it; bytes that are read are kept for the
-    /// next call.
+    /// Returns whether the client of a job that is in flight has disconnected. Reads the input that the
+    /// kernel has buffered, whether or not the runtime has been notified of the input. Bytes that are read
+    /// are kept for the next call of the service.
     fn check_disconnected(&mut self) -> bool {
         let mut chunk = [0; 8 << 10];
         for _ in 0..MAX_CHECK_READS {
@@ -163,7 +164,8 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Searches the start of the buffer for a complete head, and releases the head and its body to hyper.
+    /// Searches the start of the buffer for a complete head, and releases the head and the body of the
+    /// request to hyper.
     fn parse_next_head(&mut self) {
         let blank_bytes = self.buffer.iter().take_while(|b| matches!(b, b'\r' | b'\n')).count();
         if self.searched == 0 {
@@ -189,7 +191,8 @@
                     (self.forwardable_bytes, state.closes_after_request) = (u64::MAX, true);
                 }
             }
-            // Only hyper knows where such a body ends, so nothing after it is read.
+            // Only hyper knows where a chunked body ends, so no bytes after a chunked body are read, and the
+            // connection closes.
             Ok(Some((_, BodyFraming::Chunked))) => {
                 (self.forwardable_bytes, state.closes_after_request) = (u64::MAX, true)
             }
@@ -208,7 +211,7 @@
     Chunked,
 }
 
-/// Returns the length of the head at the start of the bytes and the framing of its body; `None` while the
+/// Returns the length of the head at the start of the bytes and the framing of the body; `None` while the
 /// head is not complete.
 fn parse_framing(bytes: &[u8]) -> Result<Option<(usize, BodyFraming)>, EarlyRejection> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -246,7 +249,8 @@
         let reader = &mut *self.request_reader();
         loop {
             if reader.awaits_response() {
-                // Bytes that arrive now belong to the next call, and `poll_disconnected` detects the end.
+                // Bytes that arrive now belong to the next call of the service, and `poll_disconnected`
+                // detects the end of the stream.
                 reader.client_connection.state().reader_waker = Some(cx.waker().clone());
                 return Poll::Pending;
             }
@@ -254,7 +258,7 @@
                 reader.parse_next_head();
             }
             if reader.client_connection.rejection().is_some() {
-                // An error would also abort the call that is in flight before it.
+                // An error from the stream would also abort the call in flight for the preceding request.
                 let invalid = Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
                 return if reader.client_connection.has_active_call() { Poll::Pending } else { invalid };
             }
--- a/crates/daemon/src/shutdown.rs
+++ b/crates/daemon/src/shutdown.rs
@@ -1,6 +1,6 @@
-//! Signals and the graceful shutdown. SIGTERM and SIGINT start the shutdown: for a while, clients that do not
-//! know of it are still served as before; then the listener is closed and all accepted jobs are answered.
-//! SIGHUP reloads the configuration. SIGUSR1 prints the counters.
+//! Signals and the graceful shutdown. SIGTERM and SIGINT start the shutdown: at first, clients that do not
+//! know of the shutdown are still served as before; then the listener is closed and all accepted jobs are
+//! answered. SIGHUP reloads the configuration. SIGUSR1 prints the counters.
 
 use std::time::{Duration, Instant};
 
@@ -10,32 +10,33 @@
 
 use crate::counters::SharedCounters;
 
-/// New connections keep arriving for 0.2 to 0.4 s after the signal, and clients go on using those that they
-/// have.
+/// The least time for which the listener stays open after the signal. New connections keep arriving for 0.2
+/// to 0.4 s after the signal, and clients go on using open connections.
 const SIGNAL_PROPAGATION: Duration = Duration::from_millis(450);
-/// SIGKILL is sent no sooner than this time plus the longest deadline, which counts up to
-/// [`MAX_COUNTED_DEADLINE`].
+/// SIGKILL is sent no sooner than `KILL_DELAY` plus the longest deadline after the signal, where the longest
+/// deadline counts up to [`MAX_COUNTED_DEADLINE`].
 const KILL_DELAY: Duration = Duration::from_millis(700);
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// The time to write the answers: from the moment when all jobs are answered to the earliest possible
+/// The time to write the answers, from the time at which all jobs are answered to the earliest possible
 /// SIGKILL.
 const WRITE_TIME: Duration = Duration::from_millis(400);
-/// The time from the close of the listener to those answers, in which the last jobs can be served.
+/// The time from the close of the listener to the time at which all jobs are answered. The last jobs can be
+/// served within `LAST_JOBS_TIME`.
 const LAST_JOBS_TIME: Duration = Duration::from_millis(700);
 
-/// The schedule of a graceful shutdown, counted from its signal. SIGKILL is not announced, so the schedule
-/// must end before the earliest one that the deadlines in the settings allow.
+/// The schedule of a graceful shutdown, counted from the signal that starts the shutdown. SIGKILL is not
+/// announced, so the schedule must end before the earliest SIGKILL that the deadlines in the settings allow.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShutdownSchedule {
     /// The time for which the listener stays open. In a rolling restart the other schedulers may not be back
-    /// yet, and a client that is turned away would find no other.
+    /// yet, and a client that is turned away would find no other scheduler.
     pub stop_accepting_after: Duration,
     /// The time after which all jobs that are still open are answered.
     pub answer_all_after: Duration,
 }
 
 impl ShutdownSchedule {
-    /// Returns the schedule for settings with this longest deadline.
+    /// Returns the schedule for settings whose longest deadline is `longest_deadline`.
     pub fn new(longest_deadline: Duration) -> ShutdownSchedule {
         let earliest_kill = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
         let answer_all_after =
@@ -58,18 +59,19 @@
 #[derive(Clone)]
 pub struct Shutdown(watch::Receiver<Stage>);
 
-/// Starts the shutdown and moves it through its stages.
+/// Starts the shutdown and advances the stage of the shutdown.
 pub struct ShutdownTrigger(watch::Sender<Stage>, ShutdownSchedule);
 
-/// Creates the two ends of a shutdown: the trigger that starts it and the handle that observes it.
+/// Creates the two ends of a shutdown: the trigger that starts the shutdown and the handle that observes the
+/// stage.
 pub fn shutdown_channel(schedule: ShutdownSchedule) -> (ShutdownTrigger, Shutdown) {
     let (trigger, shutdown) = watch::channel(Stage::Serving);
     (ShutdownTrigger(trigger, schedule), Shutdown(shutdown))
 }
 
 impl ShutdownTrigger {
-    /// Starts the shutdown, and closes the listener when its time is over. The acceptor itself waits for the
-    /// accepted jobs.
+    /// Starts the shutdown, and requests the close of the listener after `stop_accepting_after`. The acceptor
+    /// itself waits for the accepted jobs.
     pub async fn run(&self) {
         let answer_deadline = Instant::now() + self.1.answer_all_after;
         self.0.send_replace(Stage::Draining { answer_deadline });
@@ -107,7 +109,8 @@
         }
     }
 
-    /// Waits until all jobs must be answered, after which no request is accepted.
+    /// Waits until the time by which all jobs must be answered. No request is accepted after the answer
+    /// deadline.
     pub async fn wait_for_answer_deadline(&self) {
         tokio::time::sleep_until(self.wait_for_start().await.into()).await;
     }
--- a/crates/daemon/src/start_times.rs
+++ b/crates/daemon/src/start_times.rs
@@ -1,27 +1,30 @@
 //! Converts the start times of workers to the scheduler's monotonic clock.
 //!
-//! Starts are reported in Unix time, and this machine's wall clock may be wrong or stepped. So a worker's age
-//! is never derived from the wall clock alone, and never overestimated:
+//! Starts are reported in Unix time, and the wall clock of the scheduler's machine may be wrong or stepped.
+//! So the age of a worker is never derived from the wall clock alone, and never overestimated:
 //!
-//! - a worker started before its start was first reported, and from then on the monotonic clock measures its
-//!   age;
-//! - of two starts in one list, the earlier one is older by the difference, whatever the local clocks say;
+//! - a worker started before the first report of the start, and the monotonic clock measures the age of the
+//!   worker from the first report on;
+//! - of two workers in one list, the worker with the earlier start is older by the difference of the starts,
+//!   whatever the local clocks show;
 //! - the wall clock at the start of the program is trusted within [`WALL_CLOCK_TOLERANCE`], so that a worker
-//!   that started longer ago than that does not count as new for each scheduler that starts.
+//!   that started longer ago than [`WALL_CLOCK_TOLERANCE`] does not count as new for each scheduler that
+//!   starts.
 //!
-//! These rules give a lower bound of discovery's clock, which never decreases.
+//! The three rules give a lower bound for the clock of the discovery service, and the lower bound never
+//! decreases.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use nickelflow_engine::Nanos;
 
-/// The time by which the wall clock may be ahead: it may be stepped by an hour, and by another before the
-/// first step is noticed.
+/// The longest time by which the wall clock may be ahead of the clock of the discovery service. The tolerance
+/// covers two steps of the wall clock by one hour each, where the second step comes before the first step is
+/// noticed.
 pub const WALL_CLOCK_TOLERANCE: Duration = Duration::from_secs(2 * 3_600);
 
-/// The start of a worker as it was last reported, in Unix time, and as it was converted to the scheduler's
-/// clock.
+/// The last reported start of a worker: in Unix time, and converted to the scheduler's clock.
 struct WorkerStart {
     unix_time: Nanos,
     local_time: Nanos,
@@ -29,7 +32,7 @@
 
 /// Converts starts from Unix time to the scheduler's clock.
 pub struct StartTimes {
-    /// The least time (ns) by which discovery's clock is ahead of the scheduler's clock.
+    /// The least time (ns) by which the clock of the discovery service is ahead of the scheduler's clock.
     min_clock_offset: i128,
     workers: HashMap<String, WorkerStart>,
 }
@@ -42,7 +45,7 @@
     }
 
     /// Records the starts (Unix time, ns) of a list that arrived at `now`. All starts of a list must be
-    /// recorded before any of them is converted.
+    /// recorded before any start of the list is converted.
     pub fn observe(&mut self, now: Nanos, starts: impl Iterator<Item = Nanos>) {
         if let Some(latest) = starts.max() {
             self.min_clock_offset = self.min_clock_offset.max(i128::from(latest) - i128::from(now));
--- a/crates/daemon/src/write_guard.rs
+++ b/crates/daemon/src/write_guard.rs
@@ -1,5 +1,5 @@
-//! The last check before bytes of an attempt are written to the kernel, with the facts as they are at that
-//! moment.
+//! The last check before bytes of an attempt are written to the kernel, with the facts at the time of the
+//! write.
 //!
 //! Between the decision to start an attempt and its first byte, the attempt waits for a connection slot and a
 //! connect while other tasks run, and the process may be suspended at any point. The kernel may know of a
@@ -11,9 +11,9 @@
 use nickelflow_engine::permits::{self, Denial, Permit, StopLevel, WriteFacts};
 use tokio::sync::watch;
 
-/// The largest age of a head when its first byte is written. The remaining time that the head announces is
-/// reduced by as much: the slack of 0.15 s that the platform allows is for a process that is suspended during
-/// the write itself.
+/// The largest age of a head when the first byte of the head is written. The remaining time that the head
+/// announces is reduced by at most `MAX_HEAD_AGE`, because the slack of 0.15 s that the platform allows is
+/// for a process that is suspended during the write itself.
 pub const MAX_HEAD_AGE: Duration = Duration::from_millis(20);
 
 /// Checks whether a client is still connected.
@@ -47,14 +47,15 @@
     pub deadline: Instant,
     /// Until when a resent request may be written.
     pub resend_deadline: Option<Instant>,
-    /// Until when the rules are valid that permitted the attempt.
+    /// Until when the rules that permitted the attempt are valid.
     pub rules_valid_until: Option<Instant>,
-    /// When the head was built, and with it the remaining time that it announces.
+    /// When the head, including the announced remaining time, was built.
     pub head_built_at: Instant,
 }
 
 impl WriteGuard {
-    /// Permits the write of a byte now. `started` tells whether a byte has been written already.
+    /// Permits the write of a byte now. `started` tells whether a byte of the attempt has been written
+    /// already.
     ///
     /// # Errors
     ///
@@ -73,8 +74,8 @@
         permits::check_write(&facts)
     }
 
-    /// Returns the violation by a write that was permitted but ended at `written`, after its time had
-    /// expired, because the process was suspended meanwhile.
+    /// Returns the violation by a permitted write that ended at `written`, after the permitted time had
+    /// expired, because the process was suspended during the write.
     pub fn violation_at(&self, written: Instant) -> Option<Denial> {
         let has_expired = |expiry: Option<Instant>| expiry.is_some_and(|expiry| expiry <= written);
         let violations = [
@@ -84,7 +85,7 @@
         violations.into_iter().find(|(is_violated, _)| *is_violated).map(|(_, denial)| denial)
     }
 
-    /// Returns when nothing more of the attempt may be written.
+    /// Returns the time from which no further byte of the attempt may be written.
     pub fn write_deadline(&self) -> Option<Instant> {
         [self.resend_deadline, self.rules_valid_until].into_iter().flatten().min()
     }
