--- a/crates/control-plane/src/control_plane.rs
+++ b/crates/control-plane/src/control_plane.rs
@@ -29,7 +29,7 @@
 
 const THREAD_NAME: &str = "rules";
 
-/// Why the control plane could not be ready_receiver.
+/// Why the control plane could not be started.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The listener cannot be switched to non-blocking mode.
@@ -38,7 +38,7 @@
     /// The runtime cannot be built.
     #[error("runtime: {0}")]
     Runtime(#[source] std::io::Error),
-    /// The thread cannot be ready_receiver.
+    /// The thread cannot be started.
     #[error("thread: {0}")]
     Thread(#[source] std::io::Error),
     /// The thread ended before it was ready.
