--- a/crates/daemon/src/acceptor.rs
+++ b/crates/daemon/src/acceptor.rs
@@ -390,7 +390,7 @@
     if let Some(rejection) = rejection {
         counters.rejected.add();
         let status = rejection.status.as_u16();
-        debug!(client = client_connection.number, status, why = rejection.reason, "rejected");
+        debug!(client = client_connection.number, status, why = rejection.reason, "request rejected");
         client_stream.write_all(&rejection.to_bytes()).await?;
     }
     client_stream.shutdown().await?;
--- a/crates/daemon/src/discovery.rs
+++ b/crates/daemon/src/discovery.rs
@@ -260,14 +260,14 @@
             biased;
             changed = current_until.changed() => if changed.is_err() { return },
             () = tokio::time::sleep_until(stale_at.into()) => {
-                warn!("the list may be stale");
+                warn!("worker list may be stale");
                 notify(ListKind::Stale);
                 while current_until.borrow_and_update().elapsed() >= max_age {
                     if current_until.changed().await.is_err() {
                         return;
                     }
                 }
-                info!("the list is current");
+                info!("worker list is current");
                 notify(ListKind::Changes);
             }
         }
@@ -325,7 +325,7 @@
     if let Some(pending) = call {
         match pending.await {
             Ok(established) => return established,
-            Err((_, why)) => warn!(why, "an earlier call failed"),
+            Err((_, why)) => warn!(why, "an earlier request to discovery failed"),
         }
         *call = None;
     }
@@ -366,7 +366,7 @@
                     continue;
                 }
             };
-            warn!(%address, why, "watch ended");
+            warn!(%address, why, "watch on discovery ended");
             let has_moved_recently =
                 moved_at.is_some_and(|at: Instant| at.elapsed() < MOVE_NOTIFICATION_DELAY);
             let delay = self
@@ -456,7 +456,7 @@
             if first_call.is_none() {
                 return Err(failure);
             }
-            warn!(%address, why = failure.1, "asked once more");
+            warn!(%address, why = failure.1, "no answer from discovery yet, sending another request");
             let delay = self.timing.retry_delay(failure.0, &mut self.rng);
             tokio::select! {
                 established = await_earlier_call(&mut first_call) => return Ok(established),
@@ -488,7 +488,7 @@
                 Ok(established) => established,
                 Err(failure) => return failure,
             };
-        info!(since = version, "watching");
+        info!(since = version, "watch established");
         let established_at = Instant::now();
         let watch_end = || {
             if established_at.elapsed() < HEARTBEAT_INTERVAL {
@@ -520,7 +520,7 @@
             };
             for error in &list.skipped {
                 let why = error.to_string();
-                warn!(why, "entry left out");
+                warn!(why, "skipping an invalid entry of the worker list");
             }
             *version = list.version;
             // Only a snapshot without skipped entries is complete: workers missing from any other list are
--- a/crates/daemon/src/job_handler.rs
+++ b/crates/daemon/src/job_handler.rs
@@ -134,7 +134,12 @@
 
     fn reject(&self, Rejection { status, reason }: Rejection) -> Reply {
         self.counters.rejected.add();
-        debug!(client = self.client_connection.number, status = status.as_u16(), why = reason, "rejected");
+        debug!(
+            client = self.client_connection.number,
+            status = status.as_u16(),
+            why = reason,
+            "request rejected"
+        );
         reply(status, reason + "\n")
     }
 
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -118,7 +118,7 @@
         Err(e) => Err(format!("runtime: {e}")),
     };
     served.map_err(|why| {
-        error!("{why}");
+        error!("scheduler stopped: {why}");
         Failure { exit_status: exit_status::FAILED, message: String::new() }
     })
 }
--- a/crates/daemon/src/scheduler_loop.rs
+++ b/crates/daemon/src/scheduler_loop.rs
@@ -193,14 +193,14 @@
         let input = match event {
             Event::Job { number, job, answer_sender } => self.accept_job(number, job, answer_sender),
             Event::ClientDisconnected { job } => {
-                debug!(job, "client gone");
+                debug!(job, "client disconnected");
                 if self.pending_jobs.remove(&job).is_some() {
                     self.counters.client_gone.add();
                 }
                 Input::ClientDisconnected { job_id: job }
             }
             Event::Progress { id: AttemptId { job, attempt } } => {
-                debug!(job, attempt, "progress");
+                debug!(job, attempt, "attempt reported progress");
                 Input::Progress { job_id: job, attempt }
             }
             Event::AttemptEnded { id, result } => self.end_attempt(id, result),
@@ -235,7 +235,7 @@
         self.counters.taken.add();
         let SubmittedJob { request_id, class, tenant, slots, memory, key, is_retry, deadline, request } =
             submitted;
-        debug!(job = number, tenant, key, slots, memory, request = ?request_id, "taken");
+        debug!(job = number, tenant, key, slots, memory, request = ?request_id, "job accepted");
         // As in the engine, a class that is out of range counts as the last class.
         let class_safety = self.class_retry_safety.get(class as usize).or(self.class_retry_safety.last());
         let retry_safety = class_safety.copied().unwrap_or(RetrySafety::Unsafe);
@@ -248,7 +248,7 @@
     fn end_attempt(&mut self, id: AttemptId, result: AttemptResult) -> Input<u64, SocketAddr, Bytes> {
         let AttemptId { job, attempt } = id;
         self.counters.record_outcome(result.outcome);
-        debug!(job, attempt, outcome = %outcome_name(result.outcome), "ended");
+        debug!(job, attempt, outcome = %outcome_name(result.outcome), "attempt finished");
         self.stop_senders.remove(&id);
         Input::AttemptEnded { job_id: job, attempt, result }
     }
@@ -329,7 +329,7 @@
     }
 
     fn answer(&mut self, job: u64, answer: FinalAnswer) {
-        debug!(job, answer = answer.name(), "answer");
+        debug!(job, answer = answer.name(), "answering job");
         match answer {
             FinalAnswer::Served(_) => self.counters.served.add(),
             FinalAnswer::Rejected { .. } => self.counters.refused.add(),
@@ -352,7 +352,7 @@
             return;
         };
         self.counters.sent.add();
-        debug!(job, attempt, instance = entry.name, "send");
+        debug!(job, attempt, instance = entry.name, "sending attempt");
         let id = AttemptId { job, attempt };
         let (stop_sender, stop) = watch::channel(StopLevel::Continue);
         self.stop_senders.insert(id, stop_sender);
--- a/crates/daemon/tests/departures.rs
+++ b/crates/daemon/tests/departures.rs
@@ -144,13 +144,13 @@
             let rest = line.split_once(word)?.1;
             rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<usize>().ok()
         };
-        if let Some(job) = numbered(": taken job=") {
+        if let Some(job) = numbered(": job accepted job=") {
             self.taken.extend(self.submits.take().map(|client| (job, client)));
-        } else if let Some(job) = numbered(": send job=") {
+        } else if let Some(job) = numbered(": sending attempt job=") {
             self.sent.insert(job, at);
-        } else if let Some(job) = numbered(": client gone job=") {
+        } else if let Some(job) = numbered(": client disconnected job=") {
             self.gone.insert(job, at);
-        } else if let Some(job) = numbered(": answer job=") {
+        } else if let Some(job) = numbered(": answering job job=") {
             self.answered.insert(job, at);
         }
         true
--- a/crates/daemon/tests/floods.rs
+++ b/crates/daemon/tests/floods.rs
@@ -140,7 +140,7 @@
     let scene = scene(Does::Waits);
     let holding: Vec<_> =
         (0..PLACES).map(|n| open(&scene.program.address, job(&format!("h{n}"), "").as_bytes())).collect();
-    scene.program.logs(&format!("*taken job={}*", PLACES - 1));
+    scene.program.logs(&format!("*job accepted job={}*", PLACES - 1));
     let again: Vec<_> = (0..4)
         .map(|k| {
             let address = scene.program.address.clone();
